--- a/src/core/admission/opening_counts.cc
+++ b/src/core/admission/opening_counts.cc
@@ -55,7 +55,7 @@
 
 void OpeningCounts::OnResult(const OpeningResult& result, Time now)
 {
-  if (result.Outcome != OpeningOutcome::kSilent) {
+  if (result.Outcome != OpeningOutcome::kUnanswered) {
     ++this->AllResults;
     const bool rejected = result.Outcome != OpeningOutcome::kServed;
     this->GetStep(now).Results.push_back({ result.Backend, rejected });
--- a/src/core/admission/opening_counts.h
+++ b/src/core/admission/opening_counts.h
@@ -7,7 +7,7 @@
 #include <map>
 #include <vector>
 
-#include "core/load/load_figures.h"
+#include "core/load/load_statistics.h"
 #include "core/types.h"
 
 namespace cobaltgauge::core {
--- a/src/core/admission/rank_admission.cc
+++ b/src/core/admission/rank_admission.cc
@@ -22,7 +22,7 @@
     std::min(share, recent) > kFullFrom;
 }
 
-FleetRoom ToFleetRoom(const ZoneRoom& room)
+FleetRoom ToFleetRoom(const ZoneCapacity& room)
 {
   if (room.Utilization < kMuchRoomBelow) {
     return FleetRoom::kMuchRoom;
@@ -46,7 +46,7 @@
   }
 }
 
-void RankAdmission::SetRoom(const RoomView* room, ZonesOf zonesOf)
+void RankAdmission::SetRoom(const CapacityView* room, ZonesOf zonesOf)
 {
   this->Room = room;
   this->Zones = std::move(zonesOf);
@@ -229,7 +229,8 @@
   // The zone with most room decides.
   std::optional<FleetRoom> room;
   for (const ZoneId zone : this->Zones(id)) {
-    const std::optional<ZoneRoom> known = this->Room->GetRoom(id, zone, now);
+    const std::optional<ZoneCapacity> known =
+      this->Room->GetZoneCapacity(id, zone, now);
     if (!known) {
       return FleetRoom::kUnknown;
     }
--- a/src/core/admission/rank_admission.h
+++ b/src/core/admission/rank_admission.h
@@ -13,7 +13,7 @@
 
 #include "core/admission/opening_counts.h"
 #include "core/admission/ranked_bucket.h"
-#include "core/load/load_figures.h"
+#include "core/load/load_statistics.h"
 #include "core/registration.h"
 #include "core/types.h"
 
@@ -84,7 +84,7 @@
   void SetOptions(const RankAdmissionOptions& options);
 
   /// Set the fleet's figures, which outlive this; null for none.
-  void SetRoom(const RoomView* room, ZonesOf zonesOf);
+  void SetRoom(const CapacityView* room, ZonesOf zonesOf);
 
   /// Decide on an opening of which no copy was sent on.
   /// \param mayRefuse false where the view may lack back ends.
@@ -139,7 +139,7 @@
   static void Lift(Service& service);
 
   RankAdmissionOptions Options;
-  const RoomView* Room = nullptr;
+  const CapacityView* Room = nullptr;
   ZonesOf Zones;
   std::unordered_map<ServiceId, Service> Services;
   std::map<std::string, std::map<std::uint32_t, RankCounters>> Counters;
--- a/src/core/domains/silent_groups.cc
+++ b/src/core/domains/silent_groups.cc
@@ -15,8 +15,8 @@
   }
 }
 
-bool SilentGroups::ComesLast(const PlacementCandidate& candidate,
-                             Time now) const
+bool SilentGroups::IsDeprioritized(const PlacementCandidate& candidate,
+                                   Time now) const
 {
   if (this->Groups.empty()) {
     return false;
--- a/src/core/domains/silent_groups.h
+++ b/src/core/domains/silent_groups.h
@@ -47,7 +47,8 @@
   /// Say whether groups are looked for at all.
   void SetEnabled(bool enabled);
 
-  bool ComesLast(const PlacementCandidate& candidate, Time now) const override;
+  bool IsDeprioritized(const PlacementCandidate& candidate,
+                       Time now) const override;
 
   /// A back end answered a caller.
   void OnAnswer(BackendId backend, const BackendGroup& group, Time now);
--- a/src/core/load/fleet_load.cc
+++ b/src/core/load/fleet_load.cc
@@ -8,8 +8,8 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Crossings kept until they are taken; one for each zone at most.
-constexpr std::size_t kMostCrossings = kMostLoadsTold;
+/// BusyChanges kept until they are taken; one for each zone at most.
+constexpr std::size_t kMaxPendingBusyChanges = kMaxLoadsPerMessage;
 
 std::uint32_t ToMs(Duration duration)
 {
@@ -40,145 +40,151 @@
 {
   this->Enabled = enabled;
   if (!enabled) {
-    this->Parts.clear();
-    this->KnownAsOf.reset();
-    this->AskedAt.reset();
-    this->HasNews = false;
-    this->HasQuestion = false;
+    this->FollowerReports.clear();
+    this->FleetTotalsAsOf.reset();
+    this->RoundStartedAt.reset();
+    this->HasPendingSummary = false;
+    this->HasPendingRequest = false;
   }
 }
 
-void FleetLoad::OnTick(const TreePlace& place, Time now)
+void FleetLoad::OnTick(const TreePosition& position, Time now)
 {
   this->Meter.OnTick(now);
-  if (place.Upstream != this->Place.Upstream ||
-      place.IsRoot != this->Place.IsRoot) {
-    this->ClockLead.reset();
+  if (position.Upstream != this->Position.Upstream ||
+      position.IsRoot != this->Position.IsRoot) {
+    this->UpstreamClockOffset.reset();
     this->UpstreamLevel.reset();
     this->SummarySentAtUs = 0;
-    this->QuestionSentAtUs = 0;
-    this->AskedAt.reset();
+    this->RequestSentAtUs = 0;
+    this->RoundStartedAt.reset();
   }
-  this->Place = place;
+  this->Position = position;
   if (!this->Enabled) {
     return;
   }
-  std::erase_if(this->Parts,
-                [now](const auto& item) { return item.second.Ends <= now; });
-  if (now >= this->NextCountAt) {
-    this->NextCountAt = now + kSlotsCountedEvery;
+  std::erase_if(this->FollowerReports, [now](const auto& item) {
+    return item.second.ExpiresAt <= now;
+  });
+  if (now >= this->NextSlotCountAt) {
+    this->NextSlotCountAt = now + kSlotCountInterval;
     this->Slots = this->CountSlots(now);
   }
-  if (place.IsRoot) {
-    this->KnowOwnTree(now);
-    this->NoteNeed(now);
-    if (now >= this->NextAt) {
-      this->BeginRound(now);
+  if (position.IsRoot) {
+    this->UpdateFleetTotals(now);
+    this->UpdateInterval(now);
+    if (now >= this->NextRoundAt) {
+      this->StartRound(now);
     }
   }
-  this->NoteCrossings(now);
+  this->DetectBusyChanges(now);
 }
 
-void FleetLoad::BeginRound(Time now)
+void FleetLoad::StartRound(Time now)
 {
   // Ticks that come late do not add up.
-  const bool isRegular = now - this->NextAt < this->Interval;
-  this->NextAt = (isRegular ? this->NextAt : now) + this->Interval;
-  this->AskedAt = now;
-  this->HasQuestion = true;
+  const bool isRegular = now - this->NextRoundAt < this->Interval;
+  this->NextRoundAt = (isRegular ? this->NextRoundAt : now) + this->Interval;
+  this->RoundStartedAt = now;
+  this->HasPendingRequest = true;
 }
 
-bool FleetLoad::IsGathered(Time now) const
+bool FleetLoad::HasGatheredReports(Time now) const
 {
-  if (!this->AskedAt) {
+  if (!this->RoundStartedAt) {
     return false;
   }
-  const Duration patience = this->Place.IsRoot ? kRootGathersFor : kGatherFor;
-  return now - *this->AskedAt >= patience ||
-    std::all_of(
-           this->Parts.begin(), this->Parts.end(), [this](const auto& item) {
-             return item.second.TakenAt >= *this->AskedAt;
-           });
+  const Duration timeout =
+    this->Position.IsRoot ? kRootGatherTimeout : kGatherTimeout;
+  return now - *this->RoundStartedAt >= timeout ||
+    std::all_of(this->FollowerReports.begin(),
+                this->FollowerReports.end(),
+                [this](const auto& item) {
+                  return item.second.ReceivedAt >= *this->RoundStartedAt;
+                });
 }
 
-bool FleetLoad::IsUrgent(Time now) const
+bool FleetLoad::HasUnreportedRejections(Time now) const
 {
-  if (this->IsBusy() || now - this->UrgentAt < kBusyReportEvery) {
+  if (this->IsBusy() || now - this->LastReportAt < kBusyReportInterval) {
     return false;
   }
   return HasRejections(this->Meter.GetLoads(now)) ||
-    std::any_of(
-           this->Parts.begin(), this->Parts.end(), [this](const auto& item) {
-             return item.second.TakenAt > this->UrgentAt &&
-               HasRejections(item.second.Report.loads);
-           });
+    std::any_of(this->FollowerReports.begin(),
+                this->FollowerReports.end(),
+                [this](const auto& item) {
+                  return item.second.ReceivedAt > this->LastReportAt &&
+                    HasRejections(item.second.Report.loads);
+                });
 }
 
 std::optional<std::uint32_t> FleetLoad::GetLevel() const
 {
-  if (this->Place.IsRoot) {
+  if (this->Position.IsRoot) {
     return 0;
   }
-  return this->UpstreamLevel && *this->UpstreamLevel < kMostLevels
+  return this->UpstreamLevel && *this->UpstreamLevel < kMaxTreeDepth
     ? std::optional(*this->UpstreamLevel + 1)
     : std::nullopt;
 }
 
-FleetLoad::Sum FleetLoad::AddUp(std::uint32_t level, Time now) const
+FleetLoad::TreeLoad FleetLoad::SumReports(std::uint32_t level, Time now) const
 {
   this->Meter.OnTick(now); // Requests have faded since the last one.
-  Sum sum;
-  sum.AsOf = now;
+  TreeLoad sum;
+  sum.OldestAt = now;
   sum.Loads.Add(this->Meter.GetLoads(now), 1);
-  for (const auto& [follower, part] : this->Parts) {
+  for (const auto& [follower, entry] : this->FollowerReports) {
     // Who follows each other for a moment would count the other's sum.
-    // One old part would make the figures of all others too old to use.
+    // One old entry would make the figures of all others too old to use.
     const Time asOf =
-      part.SentAt - std::chrono::milliseconds(part.Report.ageMs);
-    if (part.Ends > now && now - asOf < kOldestPart &&
-        part.Report.level > level && follower != this->Place.Upstream) {
-      sum.Loads.Add(part.Report.loads, part.Report.daemons);
-      sum.AsOf = std::min(sum.AsOf, asOf);
+      entry.SentAt - std::chrono::milliseconds(entry.Report.ageMs);
+    if (entry.ExpiresAt > now && now - asOf < kMaxSummedReportAge &&
+        entry.Report.level > level && follower != this->Position.Upstream) {
+      sum.Loads.Add(entry.Report.loads, entry.Report.daemons);
+      sum.OldestAt = std::min(sum.OldestAt, asOf);
     }
   }
   return sum;
 }
 
-void FleetLoad::KnowOwnTree(Time now)
+void FleetLoad::UpdateFleetTotals(Time now)
 {
-  Sum sum = this->AddUp(0, now);
-  this->Known = std::move(sum.Loads);
-  this->KnownAsOf = sum.AsOf;
+  TreeLoad sum = this->SumReports(0, now);
+  this->FleetTotals = std::move(sum.Loads);
+  this->FleetTotalsAsOf = sum.OldestAt;
 }
 
 double FleetLoad::GetUtilization(const LoadKey& key, std::uint32_t slots) const
 {
-  const double inFlight = this->Known.Get(key).InFlight;
+  const double inFlight = this->FleetTotals.Get(key).InFlight;
   // Without a slot there is no idle one.
   return slots == 0 ? std::max(inFlight, 1.0) : inFlight / slots;
 }
 
-void FleetLoad::NoteNeed(Time now)
+void FleetLoad::UpdateInterval(Time now)
 {
-  const bool isUsed = std::any_of(
+  const bool isBusy = std::any_of(
     this->Slots.begin(), this->Slots.end(), [this](const auto& item) {
       return item.second != 0 &&
-        this->GetUtilization(item.first, item.second) > kBusyFrom;
+        this->GetUtilization(item.first, item.second) > kBusyEnterUtilization;
     });
-  if (isUsed || HasRejections(this->Known.GetLargest(kMostLoadsTold))) {
-    this->NextAt = this->IsBusy() ? this->NextAt : now;
-    this->BusyUntil = now + kBusyFor;
+  if (isBusy ||
+      HasRejections(this->FleetTotals.GetLargest(kMaxLoadsPerMessage))) {
+    this->NextRoundAt = this->IsBusy() ? this->NextRoundAt : now;
+    this->BusyUntil = now + kBusyHoldTime;
   }
-  this->Interval = now < this->BusyUntil ? kBusyReportEvery : kCalmReportEvery;
+  this->Interval =
+    now < this->BusyUntil ? kBusyReportInterval : kNormalReportInterval;
 }
 
-std::vector<ZoneLoad> FleetLoad::GetTold(const LoadSum& loads) const
+std::vector<ZoneLoad> FleetLoad::SelectLoads(const LoadSum& loads) const
 {
-  return loads.GetLargest(this->IsBusy() ? kMostLoadsTold
-                                         : kMostLoadsToldCalm);
+  return loads.GetLargest(this->IsBusy() ? kMaxLoadsPerMessage
+                                         : kMaxLoadsPerNormalMessage);
 }
 
-void FleetLoad::NoteCrossings(Time now)
+void FleetLoad::DetectBusyChanges(Time now)
 {
   if (!this->IsUsable(now)) {
     return;
@@ -186,12 +192,15 @@
   for (const auto& [key, slots] : this->Slots) {
     bool& isBusy = this->BusyZones[key];
     const double utilization = this->GetUtilization(key, slots);
-    const bool turns =
-      isBusy ? utilization < kBusyUntil : utilization > kBusyFrom;
-    if (turns && this->Crossings.size() < kMostCrossings) {
+    const bool hasChanged = isBusy ? utilization < kBusyExitUtilization
+                                   : utilization > kBusyEnterUtilization;
+    if (hasChanged && this->BusyChanges.size() < kMaxPendingBusyChanges) {
       isBusy = !isBusy;
-      this->Crossings.push_back(
-        { key, isBusy, this->Known.Get(key), slots, *this->GetAge(now) });
+      this->BusyChanges.push_back({ key,
+                                    isBusy,
+                                    this->FleetTotals.Get(key),
+                                    slots,
+                                    *this->GetAge(now) });
     }
   }
   std::erase_if(this->BusyZones, [this](const auto& item) {
@@ -199,92 +208,98 @@
   });
 }
 
-std::vector<LoadCrossing> FleetLoad::TakeCrossings()
+std::vector<ZoneBusyChange> FleetLoad::TakeBusyChanges()
 {
-  return std::exchange(this->Crossings, {});
+  return std::exchange(this->BusyChanges, {});
 }
 
 void FleetLoad::OnUpstreamClock(std::uint64_t clockUs, Time now)
 {
-  this->ClockLead = static_cast<std::int64_t>(clockUs) - now.count();
+  this->UpstreamClockOffset = static_cast<std::int64_t>(clockUs) - now.count();
 }
 
 void FleetLoad::OnReport(const LoadReport& report, Time now)
 {
   const Time sentAt{ static_cast<std::int64_t>(report.sentAtUs) };
   const Duration next = std::min<Duration>(
-    std::chrono::milliseconds(report.nextMs), kCalmReportEvery);
-  const Time ends = sentAt + next + kReportSlack;
-  const auto known = this->Parts.find(report.replyTo);
+    std::chrono::milliseconds(report.nextMs), kNormalReportInterval);
+  const Time expiresAt = sentAt + next + kReportExpiryMargin;
+  const auto known = this->FollowerReports.find(report.replyTo);
   const bool isOlder =
-    known != this->Parts.end() && sentAt <= known->second.SentAt;
-  if (!this->Enabled || sentAt > now || sentAt < Time{} || ends <= now ||
+    known != this->FollowerReports.end() && sentAt <= known->second.SentAt;
+  if (!this->Enabled || sentAt > now || sentAt < Time{} || expiresAt <= now ||
       isOlder) {
     ++this->Counters.ReportsIgnored;
     return;
   }
-  ++this->Counters.ReportsTaken;
-  this->Parts[report.replyTo] = { report, sentAt, now, ends };
+  ++this->Counters.ReportsAccepted;
+  this->FollowerReports[report.replyTo] = { report, sentAt, now, expiresAt };
 }
 
 void FleetLoad::OnSummary(const LoadSummary& summary, Time sentAt, Time now)
 {
   std::uint64_t& latest =
-    summary.asks ? this->QuestionSentAtUs : this->SummarySentAtUs;
-  if (!this->Enabled || this->Place.IsRoot ||
-      this->Place.Upstream != summary.sender || summary.sentAtUs <= latest) {
+    summary.isReportRequest ? this->RequestSentAtUs : this->SummarySentAtUs;
+  if (!this->Enabled || this->Position.IsRoot ||
+      this->Position.Upstream != summary.sender ||
+      summary.sentAtUs <= latest) {
     return;
   }
   latest = summary.sentAtUs;
   this->UpstreamLevel = summary.level;
   this->Interval =
     std::clamp<Duration>(std::chrono::milliseconds(summary.nextMs),
-                         kBusyReportEvery,
-                         kCalmReportEvery);
-  if (summary.asks) {
-    this->AskedAt = now;
-    this->HasQuestion = true;
+                         kBusyReportInterval,
+                         kNormalReportInterval);
+  if (summary.isReportRequest) {
+    this->RoundStartedAt = now;
+    this->HasPendingRequest = true;
     return;
   }
-  ++this->Counters.SummariesTaken;
-  this->Known = LoadSum{};
-  this->Known.Add(summary.loads, summary.daemons);
-  this->KnownAsOf = sentAt - std::chrono::milliseconds(summary.ageMs);
-  this->HasNews = true;
+  ++this->Counters.SummariesAccepted;
+  this->FleetTotals = LoadSum{};
+  this->FleetTotals.Add(summary.loads, summary.daemons);
+  this->FleetTotalsAsOf = sentAt - std::chrono::milliseconds(summary.ageMs);
+  this->HasPendingSummary = true;
 }
 
 void FleetLoad::OnResume()
 {
   this->Meter.Clear();
-  this->Parts.clear();
-  this->KnownAsOf.reset();
+  this->FollowerReports.clear();
+  this->FleetTotalsAsOf.reset();
 }
 
 std::optional<LoadReport> FleetLoad::TakeReport(Time now)
 {
   const std::optional<std::uint32_t> level = this->GetLevel();
-  const bool isCountedElsewhere =
-    this->ReportedTo != this->Place.Upstream && now < this->CountedUntil;
-  if (!this->Enabled || !this->Place.Upstream || !this->ClockLead || !level ||
-      isCountedElsewhere || (!this->IsGathered(now) && !this->IsUrgent(now))) {
+  const bool mayBeCountedElsewhere =
+    this->LastReportTarget != this->Position.Upstream &&
+    now < this->LastReportExpiresAt;
+  if (!this->Enabled || !this->Position.Upstream ||
+      !this->UpstreamClockOffset || !level || mayBeCountedElsewhere ||
+      (!this->HasGatheredReports(now) &&
+       !this->HasUnreportedRejections(now))) {
     return std::nullopt;
   }
-  this->AskedAt.reset();
-  this->UrgentAt = now;
-  const Sum sum = this->AddUp(*level, now);
-  this->ReportedTo = this->Place.Upstream;
-  this->CountedUntil = std::max(this->CountedUntil,
-                                now + this->Interval + kReportSlack +
-                                  (*level - 1) * kLongestReportHolds);
+  this->RoundStartedAt.reset();
+  this->LastReportAt = now;
+  const TreeLoad sum = this->SumReports(*level, now);
+  this->LastReportTarget = this->Position.Upstream;
+  this->LastReportExpiresAt =
+    std::max(this->LastReportExpiresAt,
+             now + this->Interval + kReportExpiryMargin +
+               (*level - 1) * kMaxReportLifetime);
   ++this->Counters.ReportsSent;
   LoadReport report;
   report.replyTo = this->Self;
-  report.sentAtUs = static_cast<std::uint64_t>(now.count() + *this->ClockLead);
+  report.sentAtUs =
+    static_cast<std::uint64_t>(now.count() + *this->UpstreamClockOffset);
   report.nextMs = ToMs(this->Interval);
-  report.ageMs = ToMs(now - sum.AsOf);
+  report.ageMs = ToMs(now - sum.OldestAt);
   report.level = *level;
   report.daemons = sum.Loads.CountDaemons();
-  report.loads = this->GetTold(sum.Loads);
+  report.loads = this->SelectLoads(sum.Loads);
   return report;
 }
 
@@ -305,20 +320,20 @@
   if (!this->Enabled || !level) {
     return summaries;
   }
-  if (std::exchange(this->HasQuestion, false)) {
+  if (std::exchange(this->HasPendingRequest, false)) {
     summaries.push_back(this->MakeSummary(*level, now));
-    summaries.back().asks = true;
+    summaries.back().isReportRequest = true;
   }
-  if (this->Place.IsRoot && this->IsGathered(now)) {
-    this->AskedAt.reset();
-    this->KnowOwnTree(now);
-    this->HasNews = true;
+  if (this->Position.IsRoot && this->HasGatheredReports(now)) {
+    this->RoundStartedAt.reset();
+    this->UpdateFleetTotals(now);
+    this->HasPendingSummary = true;
   }
-  if (std::exchange(this->HasNews, false) && this->KnownAsOf) {
+  if (std::exchange(this->HasPendingSummary, false) && this->FleetTotalsAsOf) {
     LoadSummary summary = this->MakeSummary(*level, now);
-    summary.ageMs = ToMs(now - *this->KnownAsOf);
-    summary.daemons = this->Known.CountDaemons();
-    summary.loads = this->GetTold(this->Known);
+    summary.ageMs = ToMs(now - *this->FleetTotalsAsOf);
+    summary.daemons = this->FleetTotals.CountDaemons();
+    summary.loads = this->SelectLoads(this->FleetTotals);
     summaries.push_back(std::move(summary));
   }
   return summaries;
@@ -326,37 +341,39 @@
 
 std::optional<Duration> FleetLoad::GetAge(Time now) const
 {
-  return this->KnownAsOf ? std::optional<Duration>(now - *this->KnownAsOf)
-                         : std::nullopt;
+  return this->FleetTotalsAsOf
+    ? std::optional<Duration>(now - *this->FleetTotalsAsOf)
+    : std::nullopt;
 }
 
 bool FleetLoad::IsUsable(Time now) const
 {
   const std::optional<Duration> age = this->GetAge(now);
-  return this->Enabled && age && *age <= kLoadFor &&
-    this->Known.CountDaemons() * kDaemonsPerCounted >= this->Place.Daemons;
+  return this->Enabled && age && *age <= kMaxLoadAge &&
+    this->FleetTotals.CountDaemons() * kMaxDaemonsPerReported >=
+    this->Position.Daemons;
 }
 
-std::optional<ZoneRoom> FleetLoad::GetRoom(ServiceId service,
-                                           ZoneId zone,
-                                           Time now) const
+std::optional<ZoneCapacity> FleetLoad::GetZoneCapacity(ServiceId service,
+                                                       ZoneId zone,
+                                                       Time now) const
 {
   if (!this->IsUsable(now)) {
     return std::nullopt;
   }
   const LoadKey key{ service, zone };
   const auto slots = this->Slots.find(key);
-  const ZoneLoad load = this->Known.Get(key);
-  ZoneRoom room;
-  room.Utilization =
+  const ZoneLoad load = this->FleetTotals.Get(key);
+  ZoneCapacity capacity;
+  capacity.Utilization =
     this->GetUtilization(key, slots == this->Slots.end() ? 0 : slots->second);
-  room.RejectedShare = load.OpeningsInSecond == 0
+  capacity.RejectedShare = load.OpeningsInSecond == 0
     ? 0
     : std::min(1.0,
                static_cast<double>(load.RejectedInSecond) /
                  load.OpeningsInSecond);
-  room.Age = this->GetAge(now).value_or(Duration{});
-  return room;
+  capacity.Age = this->GetAge(now).value_or(Duration{});
+  return capacity;
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/load/fleet_load.h
+++ b/src/core/load/fleet_load.h
@@ -1,6 +1,6 @@
 /// @file
 /// The load that the whole fleet sees, as far as this daemon has heard.  See
-/// docs/design/008-scarce-room.md.
+/// docs/design/008-scarce-capacity.md.
 #pragma once
 
 #include <functional>
@@ -8,19 +8,19 @@
 #include <optional>
 #include <vector>
 
-#include "core/load/load_figures.h"
 #include "core/load/load_limits.h"
 #include "core/load/load_meter.h"
+#include "core/load/load_statistics.h"
 #include "core/load/load_sum.h"
 
 namespace cobaltgauge::core {
 
-/// Slots of the back ends of a service in a zone that take openings; zero
+/// Slots of the back expiresAt of a service in a zone that take openings; zero
 /// where they are all cold.
 using ZoneSlots = std::map<LoadKey, std::uint32_t>;
 
 /// Where a daemon stands in the tree of followers.
-struct TreePlace
+struct TreePosition
 {
   std::optional<Endpoint> Upstream;
   bool IsRoot = false;       ///< Its tree is the fleet that it can reach.
@@ -31,13 +31,13 @@
 struct FleetLoadCounters
 {
   std::uint64_t ReportsSent = 0;
-  std::uint64_t ReportsTaken = 0;
+  std::uint64_t ReportsAccepted = 0;
   std::uint64_t ReportsIgnored = 0; ///< Late, repeated or impossible.
-  std::uint64_t SummariesTaken = 0;
+  std::uint64_t SummariesAccepted = 0;
 };
 
 /// A zone has become busy for a service, or is no longer.
-struct LoadCrossing
+struct ZoneBusyChange
 {
   LoadKey Key;
   bool IsBusy = false;
@@ -47,7 +47,8 @@
 };
 
 /** \class FleetLoad
- * \brief Add up the loads of a tree of followers, and say how much room is.
+ * \brief Add up the loads of a tree of followers, and say how much capacity
+ * is.
  *
  * In each round the root asks; the question travels down at once, and each
  * daemon answers the one that it follows with the sum of its own load and of
@@ -60,7 +61,7 @@
  * level above.  So the receiver adds up only reports of those who know that
  * they are that far below the root.
  */
-class FleetLoad : public RoomView
+class FleetLoad : public CapacityView
 {
 public:
   using SlotCounter = std::function<ZoneSlots(Time now)>;
@@ -73,7 +74,7 @@
   void SetEnabled(bool enabled);
   bool IsEnabled() const { return this->Enabled; }
 
-  void OnTick(const TreePlace& place, Time now);
+  void OnTick(const TreePosition& position, Time now);
   /// Note the clock of the daemon that is followed.
   void OnUpstreamClock(std::uint64_t clockUs, Time now);
   void OnReport(const LoadReport& report, Time now);
@@ -88,80 +89,88 @@
   /// Get the daemon that reports are made for, as of the last tick.
   const std::optional<Endpoint>& GetUpstream() const
   {
-    return this->Place.Upstream;
+    return this->Position.Upstream;
   }
   /// Take what is due to the followers.
   std::vector<LoadSummary> TakeSummaries(Time now);
-  std::vector<LoadCrossing> TakeCrossings();
+  std::vector<ZoneBusyChange> TakeBusyChanges();
 
-  std::optional<ZoneRoom> GetRoom(ServiceId service,
-                                  ZoneId zone,
-                                  Time now) const override;
+  std::optional<ZoneCapacity> GetZoneCapacity(ServiceId service,
+                                              ZoneId zone,
+                                              Time now) const override;
   /// Get how old the figures are; nothing where there are none.
   std::optional<Duration> GetAge(Time now) const;
-  ZoneLoad GetLoad(const LoadKey& key) const { return this->Known.Get(key); }
+  ZoneLoad GetLoad(const LoadKey& key) const
+  {
+    return this->FleetTotals.Get(key);
+  }
   const ZoneSlots& GetSlots() const { return this->Slots; }
-  std::uint32_t CountDaemons() const { return this->Known.CountDaemons(); }
+  std::uint32_t CountDaemons() const
+  {
+    return this->FleetTotals.CountDaemons();
+  }
   const FleetLoadCounters& GetCounters() const { return this->Counters; }
 
 private:
-  struct Part
+  struct FollowerReport
   {
     LoadReport Report;
     Time SentAt{}; ///< On this daemon's clock.
-    Time TakenAt{};
-    Time Ends{};
+    Time ReceivedAt{};
+    Time ExpiresAt{};
   };
-  struct Sum
+  struct TreeLoad
   {
     LoadSum Loads;
-    Time AsOf{}; ///< Of the oldest part.
+    Time OldestAt{}; ///< Of the oldest entry.
   };
 
   std::optional<std::uint32_t> GetLevel() const;
-  Sum AddUp(std::uint32_t level, Time now) const;
+  TreeLoad SumReports(std::uint32_t level, Time now) const;
   /// Make the sum of this daemon's tree what is known of the fleet.
-  void KnowOwnTree(Time now);
+  void UpdateFleetTotals(Time now);
   /// Ask for reports, at the root.
-  void BeginRound(Time now);
-  void NoteNeed(Time now);
-  void NoteCrossings(Time now);
+  void StartRound(Time now);
+  void UpdateInterval(Time now);
+  void DetectBusyChanges(Time now);
   /// Tell whether the reports of a round are here, or not waited for.
-  bool IsGathered(Time now) const;
+  bool HasGatheredReports(Time now) const;
   /// Tell whether callers were rejected that nobody has asked about.
-  bool IsUrgent(Time now) const;
+  bool HasUnreportedRejections(Time now) const;
   /// Tell whether the figures are fresh, and hold enough daemons.
   bool IsUsable(Time now) const;
-  bool IsBusy() const { return this->Interval < kCalmReportEvery; }
+  bool IsBusy() const { return this->Interval < kNormalReportInterval; }
   double GetUtilization(const LoadKey& key, std::uint32_t slots) const;
-  std::vector<ZoneLoad> GetTold(const LoadSum& loads) const;
+  std::vector<ZoneLoad> SelectLoads(const LoadSum& loads) const;
   LoadSummary MakeSummary(std::uint32_t level, Time now) const;
 
   Endpoint Self;
   LoadMeter& Meter;
   SlotCounter CountSlots;
   bool Enabled = true;
-  TreePlace Place;
-  std::optional<std::int64_t> ClockLead; ///< Upstream's clock less this one.
+  TreePosition Position;
+  std::optional<std::int64_t>
+    UpstreamClockOffset; ///< Upstream's clock less this one.
   std::optional<std::uint32_t> UpstreamLevel;
   std::uint64_t SummarySentAtUs = 0; ///< By upstream's clock, the latest.
-  std::uint64_t QuestionSentAtUs = 0;
-  std::map<Endpoint, Part> Parts; ///< By follower.
+  std::uint64_t RequestSentAtUs = 0;
+  std::map<Endpoint, FollowerReport> FollowerReports; ///< By follower.
   ZoneSlots Slots;
-  Time NextCountAt{};
-  LoadSum Known;
-  std::optional<Time> KnownAsOf;
-  std::optional<Time> AskedAt; ///< When the round began, until it is gathered.
-  Duration Interval = kCalmReportEvery; ///< Of rounds, by the root.
-  bool HasQuestion = false;             ///< For the followers.
-  bool HasNews = false;                 ///< For the followers.
-  Time NextAt{};                        ///< Of the next round, at the root.
-  Time BusyUntil{};                     ///< At the root.
-  Time UrgentAt{};                      ///< Of the last report unasked.
-  std::optional<Endpoint> ReportedTo;
-  Time CountedUntil{}; ///< What was told may be, on some level above.
+  Time NextSlotCountAt{};
+  LoadSum FleetTotals;
+  std::optional<Time> FleetTotalsAsOf;
+  std::optional<Time>
+    RoundStartedAt; ///< When the round began, until it is gathered.
+  Duration Interval = kNormalReportInterval; ///< Of rounds, by the root.
+  bool HasPendingRequest = false;            ///< For the followers.
+  bool HasPendingSummary = false;            ///< For the followers.
+  Time NextRoundAt{};  ///< Of the next round, at the root.
+  Time BusyUntil{};    ///< At the root.
+  Time LastReportAt{}; ///< Of the last report unasked.
+  std::optional<Endpoint> LastReportTarget;
+  Time LastReportExpiresAt{}; ///< What was told may be, on some level above.
   std::map<LoadKey, bool> BusyZones;
-  std::vector<LoadCrossing> Crossings;
+  std::vector<ZoneBusyChange> BusyChanges;
   FleetLoadCounters Counters;
 };
 
--- a/src/core/load/load_meter.cc
+++ b/src/core/load/load_meter.cc
@@ -6,94 +6,97 @@
 namespace cobaltgauge::core {
 namespace {
 
-constexpr std::int64_t kParts = kLoadSecondParts;
-constexpr Duration kPart = Duration(1s) / kParts;
+constexpr std::int64_t kBuckets = kLoadWindowBuckets;
+constexpr Duration kBucketWidth = Duration(1s) / kBuckets;
 
 } // namespace
 
-void SlidingSecond::Add(Time now)
+void SlidingWindowCounter::Add(Time now)
 {
-  const std::int64_t part = now / kPart;
-  const std::int64_t passed = std::min(part - this->Latest, kParts);
-  for (std::int64_t i = 0; i < passed; ++i) {
-    this->Parts.at(static_cast<std::size_t>((part - i) % kParts)) = 0;
+  const std::int64_t bucket = now / kBucketWidth;
+  const std::int64_t elapsed = std::min(bucket - this->LatestBucket, kBuckets);
+  for (std::int64_t i = 0; i < elapsed; ++i) {
+    this->Buckets.at(static_cast<std::size_t>((bucket - i) % kBuckets)) = 0;
   }
-  this->Latest = std::max(this->Latest, part);
-  ++this->Parts.at(static_cast<std::size_t>(part % kParts));
+  this->LatestBucket = std::max(this->LatestBucket, bucket);
+  ++this->Buckets.at(static_cast<std::size_t>(bucket % kBuckets));
 }
 
-std::uint32_t SlidingSecond::Get(Time now) const
+std::uint32_t SlidingWindowCounter::Get(Time now) const
 {
-  const std::int64_t part = now / kPart;
+  const std::int64_t bucket = now / kBucketWidth;
   std::uint32_t sum = 0;
-  for (std::int64_t i = std::max(this->Latest - kParts, part - kParts) + 1;
-       i <= this->Latest;
+  for (std::int64_t i =
+         std::max(this->LatestBucket - kBuckets, bucket - kBuckets) + 1;
+       i <= this->LatestBucket;
        ++i) {
-    sum += this->Parts.at(static_cast<std::size_t>((i + kParts) % kParts));
+    sum +=
+      this->Buckets.at(static_cast<std::size_t>((i + kBuckets) % kBuckets));
   }
   return sum;
 }
 
-void LoadMeter::Put(FlowFingerprint flow, const Request& request)
+void LoadMeter::Track(FlowFingerprint flow, const Request& request)
 {
-  this->OnGone(flow);
-  if (this->Requests.size() < kMostRequestsCounted) {
+  this->OnFlowEnded(flow);
+  if (this->Requests.size() < kMaxCountedRequests) {
     this->Requests.emplace(flow, request);
     ++this->Zones[request.Key].InFlight;
   }
 }
 
-void LoadMeter::Fade(Request& request)
+void LoadMeter::Expire(Request& request)
 {
   if (std::exchange(request.IsCounted, false)) {
     --this->Zones[request.Key].InFlight;
   }
 }
 
-Duration LoadMeter::GetFadeTime(ServiceId service) const
+Duration LoadMeter::GetRequestTimeout(ServiceId service) const
 {
-  const auto usual = this->Usual.find(service);
-  return usual == this->Usual.end() || !usual->second.IsKnown()
-    ? Duration(kFadesLatest)
-    : std::clamp<Duration>(usual->second.Get() * kAnswerTimesPerFade,
-                           kFadesEarliest,
-                           kFadesLatest);
+  const auto responseTime = this->ResponseTimes.find(service);
+  return responseTime == this->ResponseTimes.end() ||
+      !responseTime->second.HasEnoughSamples()
+    ? Duration(kMaxRequestTimeout)
+    : std::clamp<Duration>(responseTime->second.Get() * kRequestTimeoutFactor,
+                           kMinRequestTimeout,
+                           kMaxRequestTimeout);
 }
 
 void LoadMeter::OnOpening(FlowFingerprint flow, const LoadKey& key, Time now)
 {
-  this->Put(flow, { key, now, now + kOpeningFades, true, true });
+  this->Track(flow, { key, now, now + kOpeningTimeout, true, true });
   this->Zones[key].Openings.Add(now);
 }
 
 void LoadMeter::OnRequest(FlowFingerprint flow, const LoadKey& key, Time now)
 {
-  const Time fadesAt = now + this->GetFadeTime(key.first);
-  this->Put(flow, { key, now, fadesAt, false, true });
+  const Time expiresAt = now + this->GetRequestTimeout(key.first);
+  this->Track(flow, { key, now, expiresAt, false, true });
 }
 
-void LoadMeter::OnAnswered(FlowFingerprint flow, Time now)
+void LoadMeter::OnResponse(FlowFingerprint flow, Time now)
 {
   const auto request = this->Requests.find(flow);
   if (request != this->Requests.end() && !request->second.IsOpening) {
-    this->Usual[request->second.Key.first].OnAnswer(now -
-                                                    request->second.SentAt);
+    this->ResponseTimes[request->second.Key.first].Add(now -
+                                                       request->second.SentAt);
   }
-  this->OnGone(flow);
+  this->OnFlowEnded(flow);
 }
 
-void LoadMeter::OnGone(FlowFingerprint flow)
+void LoadMeter::OnFlowEnded(FlowFingerprint flow)
 {
   const auto request = this->Requests.find(flow);
   if (request != this->Requests.end()) {
-    this->Fade(request->second);
+    this->Expire(request->second);
     this->Requests.erase(request);
   }
 }
 
 void LoadMeter::OnOpeningEnded(const OpeningResult& result, Time now)
 {
-  if (result.Outcome == OpeningOutcome::kTurnedAway ||
+  if (result.Outcome == OpeningOutcome::kRejected ||
       result.Outcome == OpeningOutcome::kReset) {
     this->Zones[{ result.Service, result.Zone }].Rejected.Add(now);
   }
@@ -102,12 +105,12 @@
 void LoadMeter::OnTick(Time now)
 {
   for (auto& [flow, request] : this->Requests) {
-    if (request.FadesAt <= now) {
-      this->Fade(request);
+    if (request.ExpiresAt <= now) {
+      this->Expire(request);
     }
   }
   std::erase_if(this->Requests, [now](const auto& item) {
-    return now - item.second.SentAt > kRequestForgottenAfter;
+    return now - item.second.SentAt > kRequestRetention;
   });
   std::erase_if(this->Zones, [now](const auto& item) {
     const Counts& counts = item.second;
--- a/src/core/load/load_meter.h
+++ b/src/core/load/load_meter.h
@@ -10,27 +10,28 @@
 #include <utility>
 #include <vector>
 
-#include "core/load/answer_time.h"
-#include "core/load/load_figures.h"
 #include "core/load/load_limits.h"
+#include "core/load/load_statistics.h"
+#include "core/load/response_time_average.h"
 
 namespace cobaltgauge::core {
 
 /// The back ends of a service in a zone.
 using LoadKey = std::pair<ServiceId, ZoneId>;
 
-/** \class SlidingSecond
+/** \class SlidingWindowCounter
  * \brief Count events of the last second, in parts of it.
  */
-class SlidingSecond
+class SlidingWindowCounter
 {
 public:
   void Add(Time now);
   std::uint32_t Get(Time now) const;
 
 private:
-  std::array<std::uint32_t, kLoadSecondParts> Parts{};
-  std::int64_t Latest = 0; ///< Number of the part that was counted last.
+  std::array<std::uint32_t, kLoadWindowBuckets> Buckets{};
+  std::int64_t LatestBucket =
+    0; ///< Number of the bucket that was counted last.
 };
 
 /** \class LoadMeter
@@ -47,9 +48,9 @@
   /// New data of a caller was sent on.
   void OnRequest(FlowFingerprint flow, const LoadKey& key, Time now);
   /// What was sent last is answered.
-  void OnAnswered(FlowFingerprint flow, Time now);
+  void OnResponse(FlowFingerprint flow, Time now);
   /// The caller or the back end has gone.
-  void OnGone(FlowFingerprint flow);
+  void OnFlowEnded(FlowFingerprint flow);
   void OnOpeningEnded(const OpeningResult& result, Time now) override;
 
   /// Let requests fade, and forget zones without load; at any time.
@@ -64,24 +65,24 @@
   {
     LoadKey Key;
     Time SentAt{};
-    Time FadesAt{};
+    Time ExpiresAt{};
     bool IsOpening = false;
     bool IsCounted = true; ///< Has not faded.
   };
   struct Counts
   {
     std::uint32_t InFlight = 0;
-    SlidingSecond Openings;
-    SlidingSecond Rejected;
+    SlidingWindowCounter Openings;
+    SlidingWindowCounter Rejected;
   };
 
-  void Put(FlowFingerprint flow, const Request& request);
-  void Fade(Request& request);
-  Duration GetFadeTime(ServiceId service) const;
+  void Track(FlowFingerprint flow, const Request& request);
+  void Expire(Request& request);
+  Duration GetRequestTimeout(ServiceId service) const;
 
   std::unordered_map<FlowFingerprint, Request> Requests;
   std::map<LoadKey, Counts> Zones;
-  std::unordered_map<ServiceId, AnswerTime> Usual;
+  std::unordered_map<ServiceId, ResponseTimeAverage> ResponseTimes;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/load/load_figures.cc
+++ b/src/core/load/load_statistics.cc
@@ -1,4 +1,4 @@
-#include "core/load/load_figures.h"
+#include "core/load/load_statistics.h"
 
 namespace cobaltgauge::core {
 
@@ -7,11 +7,11 @@
   switch (outcome) {
     case OpeningOutcome::kServed:
       return "served";
-    case OpeningOutcome::kTurnedAway:
+    case OpeningOutcome::kRejected:
       return "turned_away";
     case OpeningOutcome::kReset:
       return "reset";
-    case OpeningOutcome::kSilent:
+    case OpeningOutcome::kUnanswered:
       return "silent";
   }
   return "invalid";
--- a/src/core/load/load_figures.h
+++ b/src/core/load/load_statistics.h
@@ -16,9 +16,9 @@
 enum class OpeningOutcome : std::uint8_t
 {
   kServed,     ///< An answer of a usual length arrived.
-  kTurnedAway, ///< Answered at once by much less than is usual: not run.
+  kRejected,   ///< Answered at once by much less than is usual: not run.
   kReset,      ///< Neither answered nor sent again: its caller was reset.
-  kSilent,     ///< Sent again by its caller without an answer.
+  kUnanswered, ///< Sent again by its caller without an answer.
 };
 inline constexpr std::size_t kOpeningOutcomes = 4;
 
@@ -72,38 +72,38 @@
 struct LoadSummary
 {
   Endpoint sender;
-  std::uint64_t sentAtUs = 0; ///< By the sender's clock.
-  bool asks = false;          ///< It holds no load and asks for reports.
-  std::uint32_t nextMs = 0;   ///< When to expect the next one.
-  std::uint32_t ageMs = 0;    ///< Of the oldest part.
-  std::uint32_t level = 0;    ///< Of the sender below the root.
+  std::uint64_t sentAtUs = 0;   ///< By the sender's clock.
+  bool isReportRequest = false; ///< It holds no load and asks for reports.
+  std::uint32_t nextMs = 0;     ///< When to expect the next one.
+  std::uint32_t ageMs = 0;      ///< Of the oldest part.
+  std::uint32_t level = 0;      ///< Of the sender below the root.
   std::uint32_t daemons = 0;
   std::vector<ZoneLoad> loads;
 };
 
 /// How much room there is in a zone for one service.
-struct ZoneRoom
+struct ZoneCapacity
 {
   double Utilization = 0;   ///< In flight for each slot; 1: no idle slot.
   double RejectedShare = 0; ///< Of openings, 0 to 1.
   Duration Age{};           ///< Of these figures; zero: not told.
 };
 
-/** \class RoomView
+/** \class CapacityView
  * \brief What placement and admission ask of the fleet's load.
  *
  * Slots come from this daemon's own view of the back ends that take flows;
  * requests in flight from the fleet.
  */
-class RoomView
+class CapacityView
 {
 public:
-  virtual ~RoomView() = default;
+  virtual ~CapacityView() = default;
   /// \return nothing where too little or only old figures are known: decide
   /// as if there were none.
-  virtual std::optional<ZoneRoom> GetRoom(ServiceId service,
-                                          ZoneId zone,
-                                          Time now) const = 0;
+  virtual std::optional<ZoneCapacity> GetZoneCapacity(ServiceId service,
+                                                      ZoneId zone,
+                                                      Time now) const = 0;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/load/load_sum.cc
+++ b/src/core/load/load_sum.cc
@@ -8,18 +8,18 @@
 namespace {
 
 /// What the whole of the largest fleet may claim.
-constexpr std::uint32_t kMost = kLargestFleet * kMostOfOneDaemon;
+constexpr std::uint32_t kMaxFleetLoad = kLargestFleet * kMaxLoadPerDaemon;
 
 } // namespace
 
 void LoadSum::Add(const std::vector<ZoneLoad>& loads, std::uint32_t daemons)
 {
   const std::uint32_t bounded = std::min(daemons, kLargestFleet);
-  const std::uint32_t most = bounded * kMostOfOneDaemon;
-  const auto add = [most](std::uint32_t& sum, std::uint32_t claimed) {
-    sum = std::min(sum + std::min(claimed, most), kMost);
+  const std::uint32_t max = bounded * kMaxLoadPerDaemon;
+  const auto add = [max](std::uint32_t& sum, std::uint32_t claimed) {
+    sum = std::min(sum + std::min(claimed, max), kMaxFleetLoad);
   };
-  const std::size_t count = std::min(loads.size(), kMostLoadsTold);
+  const std::size_t count = std::min(loads.size(), kMaxLoadsPerMessage);
   for (std::size_t i = 0; i < count; ++i) {
     const ZoneLoad& load = loads[i];
     ZoneLoad& sum = this->Loads[{ load.Service, load.Zone }];
@@ -39,7 +39,7 @@
                                     : found->second;
 }
 
-std::vector<ZoneLoad> LoadSum::GetLargest(std::size_t most) const
+std::vector<ZoneLoad> LoadSum::GetLargest(std::size_t max) const
 {
   std::vector<ZoneLoad> largest;
   for (const auto& [key, load] : this->Loads) {
@@ -51,7 +51,7 @@
                      return left.InFlight + left.OpeningsInSecond >
                        right.InFlight + right.OpeningsInSecond;
                    });
-  largest.resize(std::min(largest.size(), most));
+  largest.resize(std::min(largest.size(), max));
   return largest;
 }
 
--- a/src/core/load/load_sum.h
+++ b/src/core/load/load_sum.h
@@ -21,7 +21,7 @@
   /// Get the load of the back ends of a service in a zone; none: zero.
   ZoneLoad Get(const LoadKey& key) const;
   /// Get the largest loads.
-  std::vector<ZoneLoad> GetLargest(std::size_t most) const;
+  std::vector<ZoneLoad> GetLargest(std::size_t max) const;
   std::uint32_t CountDaemons() const { return this->Daemons; }
 
 private:
--- a/src/core/load/answer_lengths.h
+++ b/src/core/load/response_lengths.h
@@ -10,30 +10,33 @@
 
 namespace cobaltgauge::core {
 
-/** \class AnswerLengths
+/** \class ResponseLengths
  * \brief Remember the latest lengths of one route's answers.
  *
  * The usual length is the upper quartile of them: while up to three quarters
  * are rejections it is still that of an answer.  Short ones are remembered
  * rarely, so that many more than that do not change it at once.
  */
-class AnswerLengths
+class ResponseLengths
 {
 public:
   /// Tell whether an answer with this many bytes, or fewer, is a rejection.
   /// Never, where too little is known or lengths are not stable.
-  bool IsShort(std::uint32_t bytes) const { return bytes <= this->ShortUpTo; }
+  bool IsShort(std::uint32_t bytes) const
+  {
+    return bytes <= this->MaxShortBytes;
+  }
 
-  void OnAnswer(std::uint32_t bytes);
+  void Add(std::uint32_t bytes);
 
 private:
-  void Learn();
+  void UpdateThreshold();
 
-  std::array<std::uint32_t, kAnswersRemembered> Lengths{};
-  std::size_t Known = 0;
+  std::array<std::uint32_t, kResponseLengthSamples> Lengths{};
+  std::size_t Samples = 0;
   std::size_t Next = 0;
-  std::uint32_t ShortSeen = 0;
-  std::uint32_t ShortUpTo = 0; ///< Zero: nothing is.
+  std::uint32_t ShortResponses = 0;
+  std::uint32_t MaxShortBytes = 0; ///< Zero: nothing is.
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/load/answer_time.h
+++ b/src/core/load/response_time_average.h
@@ -9,24 +9,27 @@
 
 namespace cobaltgauge::core {
 
-/** \class AnswerTime
+/** \class ResponseTimeAverage
  * \brief A running mean of the times that answers take.
  */
-class AnswerTime
+class ResponseTimeAverage
 {
 public:
-  void OnAnswer(Duration took)
+  void Add(Duration duration)
   {
-    const double seconds = std::chrono::duration<double>(took).count();
+    const double seconds = std::chrono::duration<double>(duration).count();
     // The first few count alike.
-    ++this->Answers;
-    const double weight =
-      std::max(1.0 / static_cast<double>(this->Answers), kLatestAnswerWeight);
+    ++this->Samples;
+    const double weight = std::max(1.0 / static_cast<double>(this->Samples),
+                                   kMinResponseTimeWeight);
     this->Mean += weight * (seconds - this->Mean);
   }
 
   /// Tell whether enough is known to call an answer late.
-  bool IsKnown() const { return this->Answers >= kAnswersBeforeShort; }
+  bool HasEnoughSamples() const
+  {
+    return this->Samples >= kMinResponseSamples;
+  }
 
   Duration Get() const
   {
@@ -35,7 +38,7 @@
   }
 
 private:
-  std::uint64_t Answers = 0;
+  std::uint64_t Samples = 0;
   double Mean = 0; ///< In seconds.
 };
 
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -11,8 +11,8 @@
 
 /// Work on a back end that has just started takes about this much longer.
 constexpr double kWarmUpFactor = 1.6;
-/// Parts in which a share of openings is drawn.
-constexpr std::uint64_t kDrawnParts = 1U << 20U;
+/// Parts in which a share of openings is sampled.
+constexpr std::uint64_t kShareResolution = 1U << 20U;
 
 } // namespace
 
@@ -20,18 +20,18 @@
                                        BackendId avoided,
                                        Time now)
 {
-  this->Seen = PlacementChoice{};
-  const Rated best = this->ChooseForRoute(route, avoided, now);
-  this->Seen.Id = best.Id;
-  this->Seen.Capacity = best.Capacity;
-  this->Seen.Busy = best.Busy;
-  this->Seen.Cold = best.Cold;
-  return this->Seen;
+  this->Result = PlacementChoice{};
+  const ScoredBackend best = this->ChooseForRoute(route, avoided, now);
+  this->Result.Id = best.Id;
+  this->Result.Capacity = best.Capacity;
+  this->Result.Busy = best.Busy;
+  this->Result.WarmUpLimited = best.WarmUpLimited;
+  return this->Result;
 }
 
-BackendChooser::Rated BackendChooser::ChooseForRoute(RouteEntry& route,
-                                                     BackendId avoided,
-                                                     Time now)
+BackendChooser::ScoredBackend BackendChooser::ChooseForRoute(RouteEntry& route,
+                                                             BackendId avoided,
+                                                             Time now)
 {
   const std::vector<RouteTarget>& targets = route.route.targets;
   const RouteTarget& first = targets[route.split.next()];
@@ -44,35 +44,38 @@
   // Another part of the split is allowed to run the flow, and better than
   // refusing it.
   for (const ServiceId service : services) {
-    const Rated best = this->ChooseOfService(service, route, avoided, now);
+    const ScoredBackend best =
+      this->ChooseOfService(service, route, avoided, now);
     if (best.Id != kNoBackend) {
       return best;
     }
   }
-  if (this->Seen.ColdCandidates > 0) {
-    return Rated{};
+  if (this->Result.WarmUpExhaustedCandidates > 0) {
+    return ScoredBackend{};
   }
   for (const ServiceId service : services) {
     const Candidates vanished =
-      this->In.Backends.vanishedSince(service, now - kVanishedFallback);
-    const Rated best = this->ChooseAllowed(vanished, route, avoided, now);
+      this->Inputs.Backends.vanishedSince(service, now - kVanishedFallback);
+    const ScoredBackend best =
+      this->ChooseAllowed(vanished, route, avoided, now);
     if (best.Id != kNoBackend) {
       return best;
     }
   }
-  return Rated{};
+  return ScoredBackend{};
 }
 
-BackendChooser::Rated BackendChooser::ChooseOfService(ServiceId service,
-                                                      const RouteEntry& route,
-                                                      BackendId avoided,
-                                                      Time now)
+BackendChooser::ScoredBackend BackendChooser::ChooseOfService(
+  ServiceId service,
+  const RouteEntry& route,
+  BackendId avoided,
+  Time now)
 {
-  const Candidates& registered = this->In.Backends.candidates(service);
+  const Candidates& registered = this->Inputs.Backends.candidates(service);
   // Of all regions: routes that allow different ones share the figures.
-  this->In.Spill.Update(registered, now);
+  this->Inputs.Spill.Update(registered, now);
   Candidates all =
-    this->In.Backends.lapsedSince(service, now - kVanishedFallback);
+    this->Inputs.Backends.lapsedSince(service, now - kVanishedFallback);
   if (all.empty()) {
     return this->ChooseAllowed(registered, route, avoided, now);
   }
@@ -82,7 +85,7 @@
   return this->ChooseAllowed(all, route, avoided, now);
 }
 
-BackendChooser::Rated BackendChooser::ChooseAllowed(
+BackendChooser::ScoredBackend BackendChooser::ChooseAllowed(
   const Candidates& candidates,
   const RouteEntry& route,
   BackendId avoided,
@@ -100,159 +103,167 @@
   return this->ChooseAmong(allowed, avoided, now);
 }
 
-BackendChooser::Rated BackendChooser::ChooseAmong(const Candidates& candidates,
-                                                  BackendId avoided,
-                                                  Time now)
+BackendChooser::ScoredBackend BackendChooser::ChooseAmong(
+  const Candidates& candidates,
+  BackendId avoided,
+  Time now)
 {
-  this->Seen.Candidates = candidates.size();
-  this->Seen.SlowCandidates = 0;
+  this->Result.Candidates = candidates.size();
+  this->Result.SlowCandidates = 0;
   for (Demotion* demotion : this->Demotions) {
-    demotion->Consider(candidates, now);
+    demotion->Prepare(candidates, now);
   }
-  const Rated first = this->ChooseWithout(candidates, nullptr, avoided, now);
+  const ScoredBackend first =
+    this->ChooseOutsideZones(candidates, nullptr, avoided, now);
   return this->Spill(first, candidates, avoided, now);
 }
 
-BackendChooser::Rated BackendChooser::Spill(const Rated& first,
-                                            const Candidates& candidates,
-                                            BackendId avoided,
-                                            Time now)
+BackendChooser::ScoredBackend BackendChooser::Spill(
+  const ScoredBackend& first,
+  const Candidates& candidates,
+  BackendId avoided,
+  Time now)
 {
-  Rated chosen = first;
+  ScoredBackend chosen = first;
   std::vector<ZoneId> full;
-  while (!this->Stays(chosen)) {
+  while (!this->StaysInZone(chosen)) {
     full.push_back(chosen.Zone);
-    chosen = this->ChooseWithout(candidates, &full, avoided, now);
+    chosen = this->ChooseOutsideZones(candidates, &full, avoided, now);
     // A back end that comes last is no room, nor is one that is busy.
     const bool isWorse = chosen.Id == kNoBackend ||
-      std::tie(chosen.Last, chosen.Busy) > std::tie(first.Last, first.Busy);
+      std::tie(chosen.Deprioritized, chosen.Busy) >
+        std::tie(first.Deprioritized, first.Busy);
     if (isWorse) {
       return first;
     }
   }
   if (!full.empty()) {
-    this->In.Spill.OnSpilled();
-    this->Seen.Spilled = true;
+    this->Inputs.Spill.OnSpilled();
+    this->Result.Spilled = true;
   }
   return chosen;
 }
 
-bool BackendChooser::Stays(const Rated& rated)
+bool BackendChooser::StaysInZone(const ScoredBackend& scored)
 {
-  if (rated.Id == kNoBackend) {
+  if (scored.Id == kNoBackend) {
     return true;
   }
-  const double kept = this->In.Spill.GetKept(rated.Service, rated.Zone);
-  return kept >= 1 ||
-    static_cast<double>(this->In.Draws.below(kDrawnParts)) <
-    kept * static_cast<double>(kDrawnParts);
+  const double localShare =
+    this->Inputs.Spill.GetLocalShare(scored.Service, scored.Zone);
+  return localShare >= 1 ||
+    static_cast<double>(this->Inputs.RandomSource.below(kShareResolution)) <
+    localShare * static_cast<double>(kShareResolution);
 }
 
-BackendChooser::Rated BackendChooser::ChooseWithout(
+BackendChooser::ScoredBackend BackendChooser::ChooseOutsideZones(
   const Candidates& candidates,
-  const std::vector<ZoneId>* without,
+  const std::vector<ZoneId>* excludedZones,
   BackendId avoided,
   Time now)
 {
   if (candidates.size() > kPlacementLooks) {
-    const Rated drawn =
-      this->ChooseBest(candidates, kPlacementLooks, without, avoided, now);
-    if (drawn.Id != kNoBackend) {
-      return drawn;
+    const ScoredBackend sampled = this->ChooseBest(
+      candidates, kPlacementLooks, excludedZones, avoided, now);
+    if (sampled.Id != kNoBackend) {
+      return sampled;
     }
   }
   return this->ChooseBest(
-    candidates, candidates.size(), without, avoided, now);
+    candidates, candidates.size(), excludedZones, avoided, now);
 }
 
-bool BackendChooser::MayTakeSpilled(const PlacementCandidate& candidate,
-                                    const std::vector<ZoneId>& without,
+bool BackendChooser::AcceptsSpilled(const PlacementCandidate& candidate,
+                                    const std::vector<ZoneId>& excludedZones,
                                     Time now) const
 {
   return now >= candidate.warmUntil &&
-    std::find(without.begin(), without.end(), candidate.zone) ==
-    without.end() &&
-    this->In.Spill.MayTake(candidate.service, candidate.zone);
+    std::find(excludedZones.begin(), excludedZones.end(), candidate.zone) ==
+    excludedZones.end() &&
+    this->Inputs.Spill.AcceptsSpillover(candidate.service, candidate.zone);
 }
 
-BackendChooser::Rated BackendChooser::ChooseBest(
+BackendChooser::ScoredBackend BackendChooser::ChooseBest(
   const Candidates& candidates,
-  std::size_t looks,
-  const std::vector<ZoneId>* without,
+  std::size_t sampleSize,
+  const std::vector<ZoneId>* excludedZones,
   BackendId avoided,
   Time now)
 {
-  Random& draws = this->In.Draws;
-  Rated best;
+  Random& random = this->Inputs.RandomSource;
+  ScoredBackend best;
   std::uint64_t ties = 0;
-  for (std::size_t look = 0; look < looks; ++look) {
+  for (std::size_t i = 0; i < sampleSize; ++i) {
     // Neighbours in the list would not do: one among back ends of other zones
     // would be compared with few of its own and get several times its share.
     const std::size_t index =
-      looks < candidates.size() ? draws.below(candidates.size()) : look;
-    if (without != nullptr &&
-        !this->MayTakeSpilled(candidates[index], *without, now)) {
+      sampleSize < candidates.size() ? random.below(candidates.size()) : i;
+    if (excludedZones != nullptr &&
+        !this->AcceptsSpilled(candidates[index], *excludedZones, now)) {
       continue;
     }
-    const Rated rated = this->Rate(candidates[index], avoided, now);
-    this->Seen.ColdCandidates += rated.ColdHeld ? 1U : 0U;
-    if (rated.Excluded || rated.ColdHeld) {
+    const ScoredBackend scored = this->Score(candidates[index], avoided, now);
+    this->Result.WarmUpExhaustedCandidates += scored.WarmUpExhausted ? 1U : 0U;
+    if (scored.Excluded || scored.WarmUpExhausted) {
       continue;
     }
-    this->Seen.SlowCandidates += rated.Slow ? 1U : 0U;
-    const bool better = best.Id == kNoBackend || IsBetter(rated, best);
-    const bool worse = !better && IsBetter(best, rated);
+    this->Result.SlowCandidates += scored.Slow ? 1U : 0U;
+    const bool better = best.Id == kNoBackend || IsBetter(scored, best);
+    const bool worse = !better && IsBetter(best, scored);
     ties = better ? 1 : ties + (worse ? 0U : 1U);
-    if (better || (!worse && draws.below(ties) == 0)) {
-      best = rated;
+    if (better || (!worse && random.below(ties) == 0)) {
+      best = scored;
     }
   }
   return best;
 }
 
-BackendChooser::Rated BackendChooser::Rate(const PlacementCandidate& candidate,
-                                           BackendId avoided,
-                                           Time now) const
+BackendChooser::ScoredBackend BackendChooser::Score(
+  const PlacementCandidate& candidate,
+  BackendId avoided,
+  Time now) const
 {
-  const double flows = this->In.Flows.openOn(candidate.id) + 1.0;
+  const double flows = this->Inputs.Flows.openOn(candidate.id) + 1.0;
   const bool isWarming = now < candidate.warmUntil;
   const double warmUp = isWarming ? kWarmUpFactor : 1.0;
   const double slowness =
-    this->In.Answers.GetSlowness(candidate.id, candidate.service, now);
+    this->Inputs.Answers.GetSlowness(candidate.id, candidate.service, now);
   const double factor = std::max(warmUp, slowness);
-  const double bears =
-    isWarming ? this->In.Routes.coldOpenings(candidate.service) : 0;
-  Rated rated;
-  rated.Id = candidate.id;
-  rated.Service = candidate.service;
-  rated.Zone = candidate.zone;
-  rated.Capacity = candidate.capacity;
-  rated.Excluded = candidate.weight == 0;
-  rated.Last = candidate.id == avoided || this->ComesLast(candidate, now);
-  rated.Busy = this->In.Pacer.isBusy(candidate.id, now);
-  rated.Slow = slowness > 1.0;
-  rated.Cold = bears > 0;
-  rated.ColdHeld =
-    rated.Cold && !this->In.WarmUps.MayOpen(candidate.id, bears, now);
-  rated.Load = flows * factor /
+  const double warmUpRate =
+    isWarming ? this->Inputs.Routes.coldOpenings(candidate.service) : 0;
+  ScoredBackend scored;
+  scored.Id = candidate.id;
+  scored.Service = candidate.service;
+  scored.Zone = candidate.zone;
+  scored.Capacity = candidate.capacity;
+  scored.Excluded = candidate.weight == 0;
+  scored.Deprioritized =
+    candidate.id == avoided || this->IsDeprioritized(candidate, now);
+  scored.Busy = this->Inputs.Pacer.isBusy(candidate.id, now);
+  scored.Slow = slowness > 1.0;
+  scored.WarmUpLimited = warmUpRate > 0;
+  scored.WarmUpExhausted = scored.WarmUpLimited &&
+    !this->Inputs.WarmUps.MayOpen(candidate.id, warmUpRate, now);
+  scored.Load = flows * factor /
     (double{ 1 } * candidate.capacity * std::max(candidate.weight, 1U));
-  return rated;
+  return scored;
 }
 
-bool BackendChooser::ComesLast(const PlacementCandidate& candidate,
-                               Time now) const
+bool BackendChooser::IsDeprioritized(const PlacementCandidate& candidate,
+                                     Time now) const
 {
   return std::any_of(this->Demotions.begin(),
                      this->Demotions.end(),
                      [&candidate, now](const Demotion* demotion) {
-                       return demotion->ComesLast(candidate, now);
+                       return demotion->IsDeprioritized(candidate, now);
                      });
 }
 
-bool BackendChooser::IsBetter(const Rated& left, const Rated& right)
+bool BackendChooser::IsBetter(const ScoredBackend& left,
+                              const ScoredBackend& right)
 {
-  return std::tie(left.Excluded, left.Last, left.Busy, left.Load) <
-    std::tie(right.Excluded, right.Last, right.Busy, right.Load);
+  return std::tie(left.Excluded, left.Deprioritized, left.Busy, left.Load) <
+    std::tie(right.Excluded, right.Deprioritized, right.Busy, right.Load);
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/backend_chooser.h
+++ b/src/core/placement/backend_chooser.h
@@ -9,7 +9,7 @@
 #include "core/opening_pacer.h"
 #include "core/outlier/answer_times.h"
 #include "core/placement/demotion.h"
-#include "core/placement/zone_spill.h"
+#include "core/placement/zone_spillover.h"
 #include "core/random.h"
 #include "core/route_table.h"
 #include "core/token_flows.h"
@@ -22,15 +22,17 @@
 {
   BackendId Id = kNoBackend; ///< kNoBackend: none takes flows.
   std::uint32_t Capacity = 1;
-  bool Busy = true;     ///< Was given an opening only just now.
-  bool Cold = false;    ///< Counts for the bound of what a cold back end gets.
+  bool Busy = true; ///< Was given an opening only just now.
+  bool WarmUpLimited =
+    false;              ///< Counts for the bound of what a cold back end gets.
   bool Spilled = false; ///< Left the preferred zone for want of room.
   std::size_t Candidates = 0;     ///< That could have been chosen.
   std::size_t SlowCandidates = 0; ///< Of those compared, with slow answers.
-  std::size_t ColdCandidates = 0; ///< Of those compared, given all they bear.
+  std::size_t WarmUpExhaustedCandidates =
+    0; ///< Of those compared, given all they bear.
 };
 
-/// What a BackendChooser looks at; all of it outlives the chooser.
+/// What a BackendChooser sampleSize at; all of it outlives the chooser.
 struct PlacementInputs
 {
   BackendRegistry& Backends;
@@ -39,8 +41,8 @@
   const OpeningPacer& Pacer;
   const WarmUpBudget& WarmUps;
   const AnswerTimes& Answers;
-  Random& Draws;
-  ZoneSpill& Spill;
+  Random& RandomSource;
+  ZoneSpillover& Spill;
 };
 
 /** \class BackendChooser
@@ -53,7 +55,7 @@
 {
 public:
   explicit BackendChooser(const PlacementInputs& inputs)
-    : In(inputs)
+    : Inputs(inputs)
   {
   }
 
@@ -71,63 +73,67 @@
 private:
   using Candidates = std::vector<PlacementCandidate>;
 
-  struct Rated
+  struct ScoredBackend
   {
     BackendId Id = kNoBackend;
     ServiceId Service{ 0 };
     ZoneId Zone = kNoZone;
     std::uint32_t Capacity = 1;
     bool Excluded = true; ///< The policy gives it no new flow.
-    bool Last = true;
+    bool Deprioritized = true;
     bool Busy = true;
     bool Slow = false;
-    bool Cold = false;
-    bool ColdHeld = false; ///< Cold, and may be given nothing now.
+    bool WarmUpLimited = false;
+    bool WarmUpExhausted =
+      false; ///< WarmUpLimited, and may be given nothing now.
     double Load = 0;
   };
 
-  Rated ChooseForRoute(RouteEntry& route, BackendId avoided, Time now);
+  ScoredBackend ChooseForRoute(RouteEntry& route, BackendId avoided, Time now);
   /// Choose of registered back ends and of those whose registrations lapsed.
-  Rated ChooseOfService(ServiceId service,
-                        const RouteEntry& route,
-                        BackendId avoided,
-                        Time now);
+  ScoredBackend ChooseOfService(ServiceId service,
+                                const RouteEntry& route,
+                                BackendId avoided,
+                                Time now);
   /// Choose of those in regions that the route allows.
-  Rated ChooseAllowed(const Candidates& candidates,
-                      const RouteEntry& route,
-                      BackendId avoided,
-                      Time now);
-  Rated ChooseAmong(const Candidates& candidates, BackendId avoided, Time now);
+  ScoredBackend ChooseAllowed(const Candidates& candidates,
+                              const RouteEntry& route,
+                              BackendId avoided,
+                              Time now);
+  ScoredBackend ChooseAmong(const Candidates& candidates,
+                            BackendId avoided,
+                            Time now);
   /// Leave the zone of a choice where it has too little room.
-  Rated Spill(const Rated& first,
-              const Candidates& candidates,
-              BackendId avoided,
-              Time now);
-  bool Stays(const Rated& rated);
-  /// \param without zones whose back ends, and all cold ones, are passed over;
-  /// null: none are.
-  Rated ChooseWithout(const Candidates& candidates,
-                      const std::vector<ZoneId>* without,
+  ScoredBackend Spill(const ScoredBackend& first,
+                      const Candidates& candidates,
                       BackendId avoided,
                       Time now);
-  /// \param looks how many are compared; where not all, drawn at random.
-  Rated ChooseBest(const Candidates& candidates,
-                   std::size_t looks,
-                   const std::vector<ZoneId>* without,
-                   BackendId avoided,
-                   Time now);
-  bool MayTakeSpilled(const PlacementCandidate& candidate,
-                      const std::vector<ZoneId>& without,
+  bool StaysInZone(const ScoredBackend& scored);
+  /// \param excludedZones zones whose back ends, and all cold ones, are passed
+  /// over; null: none are.
+  ScoredBackend ChooseOutsideZones(const Candidates& candidates,
+                                   const std::vector<ZoneId>* excludedZones,
+                                   BackendId avoided,
+                                   Time now);
+  /// \param sampleSize how many are compared; where not all, sampled at
+  /// random.
+  ScoredBackend ChooseBest(const Candidates& candidates,
+                           std::size_t sampleSize,
+                           const std::vector<ZoneId>* excludedZones,
+                           BackendId avoided,
+                           Time now);
+  bool AcceptsSpilled(const PlacementCandidate& candidate,
+                      const std::vector<ZoneId>& excludedZones,
+                      Time now) const;
+  ScoredBackend Score(const PlacementCandidate& candidate,
+                      BackendId avoided,
                       Time now) const;
-  Rated Rate(const PlacementCandidate& candidate,
-             BackendId avoided,
-             Time now) const;
-  bool ComesLast(const PlacementCandidate& candidate, Time now) const;
-  static bool IsBetter(const Rated& left, const Rated& right);
+  bool IsDeprioritized(const PlacementCandidate& candidate, Time now) const;
+  static bool IsBetter(const ScoredBackend& left, const ScoredBackend& right);
 
-  PlacementInputs In;
+  PlacementInputs Inputs;
   std::vector<Demotion*> Demotions;
-  PlacementChoice Seen; ///< Counts of the choice that is being made.
+  PlacementChoice Result; ///< Counts of the choice that is being made.
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/candidate_list.h
+++ b/src/core/placement/candidate_list.h
@@ -23,26 +23,26 @@
   /// Add a candidate, or take what it says now.
   void Put(const PlacementCandidate& candidate)
   {
-    const auto [place, isNew] =
-      this->Places.try_emplace(candidate.id, this->Items.size());
+    const auto [index, isNew] =
+      this->IndexById.try_emplace(candidate.id, this->Items.size());
     if (isNew) {
       this->Items.push_back(candidate);
     } else {
-      this->Items[place->second] = candidate;
+      this->Items[index->second] = candidate;
     }
   }
 
   void Remove(BackendId id)
   {
-    const auto found = this->Places.find(id);
-    if (found == this->Places.end()) {
+    const auto found = this->IndexById.find(id);
+    if (found == this->IndexById.end()) {
       return;
     }
-    const std::size_t place = found->second;
-    this->Places.erase(found);
-    if (place + 1 != this->Items.size()) {
-      this->Items[place] = this->Items.back();
-      this->Places[this->Items[place].id] = place;
+    const std::size_t index = found->second;
+    this->IndexById.erase(found);
+    if (index + 1 != this->Items.size()) {
+      this->Items[index] = this->Items.back();
+      this->IndexById[this->Items[index].id] = index;
     }
     this->Items.pop_back();
   }
@@ -50,15 +50,16 @@
   /// \return null where it is none.
   const PlacementCandidate* Find(BackendId id) const
   {
-    const auto found = this->Places.find(id);
-    return found == this->Places.end() ? nullptr : &this->Items[found->second];
+    const auto found = this->IndexById.find(id);
+    return found == this->IndexById.end() ? nullptr
+                                          : &this->Items[found->second];
   }
 
   const std::vector<PlacementCandidate>& GetAll() const { return this->Items; }
 
 private:
   std::vector<PlacementCandidate> Items;
-  std::unordered_map<BackendId, std::size_t> Places;
+  std::unordered_map<BackendId, std::size_t> IndexById;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/demotion.h
+++ b/src/core/placement/demotion.h
@@ -22,14 +22,14 @@
   virtual ~Demotion() = default;
 
   /// Take the back ends that the next answers are about.
-  virtual void Consider(const std::vector<PlacementCandidate>& /*candidates*/,
-                        Time /*now*/)
+  virtual void Prepare(const std::vector<PlacementCandidate>& /*candidates*/,
+                       Time /*now*/)
   {
   }
 
   /// Tell whether a back end comes last.
-  virtual bool ComesLast(const PlacementCandidate& candidate,
-                         Time now) const = 0;
+  virtual bool IsDeprioritized(const PlacementCandidate& candidate,
+                               Time now) const = 0;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/own_demotions.cc
+++ b/src/core/placement/local_demotions.cc
@@ -1,4 +1,4 @@
-#include "core/placement/own_demotions.h"
+#include "core/placement/local_demotions.h"
 
 #include <algorithm>
 
@@ -6,18 +6,18 @@
 
 namespace cobaltgauge::core {
 
-void OutlierDemotion::Consider(
+void OutlierDemotion::Prepare(
   const std::vector<PlacementCandidate>& candidates,
   Time /*now*/)
 {
-  this->Counts = false;
+  this->IsApplied = false;
   const std::size_t outliers =
     this->Detector == nullptr ? 0 : this->Detector->CountOutliers();
   if (outliers == 0) {
     return;
   }
   if (outliers * kBackendsPerOutlier <= candidates.size()) {
-    this->Counts = true;
+    this->IsApplied = true;
     return;
   }
   const auto found = static_cast<std::size_t>(
@@ -26,14 +26,14 @@
                   [this](const PlacementCandidate& candidate) {
                     return this->Detector->IsOutlier(candidate.id);
                   }));
-  this->Counts =
+  this->IsApplied =
     found != 0 && found * kBackendsPerOutlier <= candidates.size();
 }
 
-bool OutlierDemotion::ComesLast(const PlacementCandidate& candidate,
-                                Time /*now*/) const
+bool OutlierDemotion::IsDeprioritized(const PlacementCandidate& candidate,
+                                      Time /*now*/) const
 {
-  return this->Counts && this->Detector->IsOutlier(candidate.id);
+  return this->IsApplied && this->Detector->IsOutlier(candidate.id);
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/own_demotions.h
+++ b/src/core/placement/local_demotions.h
@@ -22,7 +22,8 @@
   {
   }
 
-  bool ComesLast(const PlacementCandidate& candidate, Time now) const override
+  bool IsDeprioritized(const PlacementCandidate& candidate,
+                       Time now) const override
   {
     return this->Health.isSuspected(candidate.id, now);
   }
@@ -45,14 +46,15 @@
     this->Detector = detector;
   }
 
-  void Consider(const std::vector<PlacementCandidate>& candidates,
-                Time now) override;
+  void Prepare(const std::vector<PlacementCandidate>& candidates,
+               Time now) override;
 
-  bool ComesLast(const PlacementCandidate& candidate, Time now) const override;
+  bool IsDeprioritized(const PlacementCandidate& candidate,
+                       Time now) const override;
 
 private:
   const OutlierDetector* Detector = nullptr;
-  bool Counts = false;
+  bool IsApplied = false;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/view_relay.h
+++ b/src/core/relay/view_relay.h
@@ -15,7 +15,7 @@
 #include <variant>
 #include <vector>
 
-#include "core/load/load_figures.h"
+#include "core/load/load_statistics.h"
 #include "core/outlier/outlier_detector.h"
 #include "core/random.h"
 #include "core/relay/change_log.h"
--- a/src/core/token_openings.cc
+++ b/src/core/token_openings.cc
@@ -33,7 +33,7 @@
     // The flow is open. A second back end that answered would take its later packets.
     return Drop{DropReason::kStaleOpening};
   }
-  outcomes_.OnCopy(known->fingerprint, now);
+  outcomes_.OnRetransmission(known->fingerprint, now);
   const bool takesFlows = backends_.takesNewFlows(known->backend) ||
                           backends_.hasVanishedSince(known->backend, now - kVanishedFallback);
   if (health_.isSuspected(known->backend, now) || !takesFlows) {
@@ -62,7 +62,7 @@
   const PlacementChoice choice = chooser_.Choose(route, avoided, now);
   decision_.candidates = choice.Candidates;
   decision_.slowCandidates = choice.SlowCandidates;
-  decision_.coldCandidates = choice.ColdCandidates;
+  decision_.coldCandidates = choice.WarmUpExhaustedCandidates;
   decision_.spilled = choice.Spilled;
   if (choice.Id == kNoBackend) {
     return withoutBackend(packet, route.route, reason, now);
@@ -86,7 +86,7 @@
   health_.onOpening(choice.Id, now);
   serving_.OnOpening(choice.Id, backend.service, now);
   pacer_.onOpening(choice.Id, choice.Capacity, now);
-  if (choice.Cold) {
+  if (choice.WarmUpLimited) {
     warmUps_.OnOpening(choice.Id, now);
   }
   return forward(backend, reason);
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -125,7 +125,7 @@
     answerTimes_.OnAnswer(backend.id, backend.service, now - flow.dataSentAt, now);
   }
   if (load_ != nullptr && (!flow.answered || !flow.dataAnswered)) {
-    load_->OnAnswered(flow.fingerprint, now);
+    load_->OnResponse(flow.fingerprint, now);
   }
   flow.answered = true;
   flow.dataAnswered = true;
@@ -133,7 +133,7 @@
 
 void TokenSteering::noteGone(FlowFingerprint flow) {
   if (load_ != nullptr) {
-    load_->OnGone(flow);
+    load_->OnFlowEnded(flow);
   }
 }
 
@@ -229,7 +229,7 @@
 std::vector<TokenFlow> TokenSteering::forgetFlowsOf(BackendId backend) {
   std::vector<TokenFlow> flows = flows_.takeAllOf(backend);
   for (const TokenFlow& flow : flows) {
-    outcomes_.Forget(flow.fingerprint);
+    outcomes_.Discard(flow.fingerprint);
     noteGone(flow.fingerprint);
   }
   return flows;
--- a/src/core/token_steering.h
+++ b/src/core/token_steering.h
@@ -22,13 +22,13 @@
 #include "core/domains/silent_groups.h"
 #include "core/flow_steering.h"
 #include "core/load/load_meter.h"
-#include "core/load/opening_outcomes.h"
+#include "core/load/opening_tracker.h"
 #include "core/opening_pacer.h"
 #include "core/outlier/answer_deadlines.h"
 #include "core/outlier/answer_times.h"
 #include "core/outlier/outlier_detector.h"
 #include "core/placement/backend_chooser.h"
-#include "core/placement/own_demotions.h"
+#include "core/placement/local_demotions.h"
 #include "core/random.h"
 #include "core/reach/token_reach.h"
 #include "core/route_table.h"
@@ -132,8 +132,8 @@
     outlierDemotion_.SetDetector(outliers);
   }
   /// Decides which openings leave a zone for want of room; give it the sources of figures.
-  ZoneSpill& spill() { return spill_; }
-  const ZoneSpill& spill() const { return spill_; }
+  ZoneSpillover& spill() { return spill_; }
+  const ZoneSpillover& spill() const { return spill_; }
   /// Adds a reason to put back ends last for new flows; outlives the steering.
   void addDemotion(Demotion& demotion) { chooser_.AddDemotion(demotion); }
 
@@ -164,7 +164,7 @@
   const VerdictCounters& counters() const { return counters_; }
   const TokenFlows& flows() const { return flows_; }
   const BackendHealth& health() const { return health_; }
-  const OpeningOutcomes& outcomes() const { return outcomes_; }
+  const OpeningTracker& outcomes() const { return outcomes_; }
   /// @return how the last opening was decided.
   const OpeningDecision& lastDecision() const { return decision_; }
 
@@ -227,12 +227,12 @@
   OutlierDetector* outliers_ = nullptr;
   RankAdmission* admission_ = nullptr;
   AnswerDeadlines deadlines_;
-  OpeningOutcomes outcomes_;
+  OpeningTracker outcomes_;
   LoadMeter* load_ = nullptr;
   AnswerTimes answerTimes_;
   SuspectDemotion suspectDemotion_{health_};
   OutlierDemotion outlierDemotion_;
-  ZoneSpill spill_;
+  ZoneSpillover spill_;
   BackendChooser chooser_;
   LatencyObserver* latencies_ = nullptr;
   bool viewComplete_ = false;
--- a/src/daemon/load_page.cc
+++ b/src/daemon/load_page.cc
@@ -9,7 +9,7 @@
   nlohmann::json zones = nlohmann::json::array();
   for (const auto& [key, slots] : load.GetSlots()) {
     const core::ZoneLoad known = load.GetLoad(key);
-    const std::optional<core::ZoneRoom> room = load.GetRoom(key.first, key.second, now);
+    const std::optional<core::ZoneCapacity> room = load.GetZoneCapacity(key.first, key.second, now);
     nlohmann::json zone{{"service", backends.nameOf(key.first)},
                         {"zone", backends.nameOf(key.second)},
                         {"in_flight", known.InFlight},
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -215,7 +215,7 @@
 void PeerLink::LogLoad()
 {
   const core::BackendRegistry& backends = this->View.Steering.backends();
-  for (const core::LoadCrossing& crossing : this->Load.TakeCrossings()) {
+  for (const core::ZoneBusyChange& crossing : this->Load.TakeBusyChanges()) {
     logLoadCrossing(crossing, backends, this->Load.CountDaemons());
   }
 }
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -262,7 +262,7 @@
     logAdmission(change);
   }
   probes_.carryOut(now);
-  for (const core::SpillChange& change : steering_.spill().TakeChanges()) {
+  for (const core::SpilloverChange& change : steering_.spill().TakeChanges()) {
     logSpill(change, steering_.backends(), reader_.revision());
   }
   if (now >= nextSettingsCheck_) {
--- a/src/daemon/token_daemon.h
+++ b/src/daemon/token_daemon.h
@@ -9,7 +9,7 @@
 #include <memory>
 #include <string>
 
-#include "core/placement/seen_room.h"
+#include "core/placement/local_capacity_estimator.h"
 #include "core/store_reader.h"
 #include "core/token_steering.h"
 #include "core/view_updater.h"
@@ -76,7 +76,7 @@
   PolicyWeights weights_;
   core::RankAdmission admission_;
   core::TokenSteering steering_;
-  core::SeenRoom seenRoom_;
+  core::LocalCapacityEstimator seenRoom_;
   core::ChangeLog changes_;
   ChangeLines changeLines_;
   core::ViewUpdater updater_;
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -226,14 +226,14 @@
             {"probe", fraction(state.Probe)}});
 }
 
-void logSpill(const core::SpillChange& change, const core::BackendRegistry& backends,
+void logSpill(const core::SpilloverChange& change, const core::BackendRegistry& backends,
               core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, change.Began ? "spill_began" : "spill_ended",
            {{"service", backends.nameOf(change.Service)},
             {"zone", backends.nameOf(change.Zone)},
-            {"kept", std::to_string(change.Kept)},
+            {"kept", std::to_string(change.LocalShare)},
             {"demand", std::to_string(change.Demand)},
-            {"least_demand", std::to_string(change.Least)},
+            {"least_demand", std::to_string(change.LowestDemand)},
             {"age_ms", std::to_string(change.Age / std::chrono::milliseconds(1))},
             {"revision", toString(viewRevision)}});
 }
@@ -245,7 +245,7 @@
             {"revision", toString(viewRevision)}});
 }
 
-void logLoadCrossing(const core::LoadCrossing& crossing, const core::BackendRegistry& backends,
+void logLoadCrossing(const core::ZoneBusyChange& crossing, const core::BackendRegistry& backends,
                      std::uint32_t daemons) {
   logEvent(LogLevel::kInfo, crossing.IsBusy ? "zone_busy" : "zone_calm",
            {{"service", backends.nameOf(crossing.Key.first)},
--- a/src/daemon/token_log.h
+++ b/src/daemon/token_log.h
@@ -48,12 +48,12 @@
 void logOutlier(core::BackendId backend, core::Revision viewRevision);
 
 /// Openings of a service begin or cease to leave a zone for want of room.
-void logSpill(const core::SpillChange& change, const core::BackendRegistry& backends,
+void logSpill(const core::SpilloverChange& change, const core::BackendRegistry& backends,
               core::Revision viewRevision);
 
 /// Back ends of a service in a zone are more than half used, or no longer. @param daemons whose
 /// load it is.
-void logLoadCrossing(const core::LoadCrossing& crossing, const core::BackendRegistry& backends,
+void logLoadCrossing(const core::ZoneBusyChange& crossing, const core::BackendRegistry& backends,
                      std::uint32_t daemons);
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -28,7 +28,7 @@
 
 std::vector<MetricSample> keptShares(const core::TokenSteering& steering) {
   std::vector<MetricSample> samples;
-  for (const auto& [zone, kept] : steering.spill().GetKeptByZone()) {
+  for (const auto& [zone, kept] : steering.spill().GetLocalShareByZone()) {
     samples.push_back({steering.backends().nameOf(zone), kept});
   }
   return samples;
@@ -208,7 +208,7 @@
        }},
       {"cobaltgauge_opening_ends_unseen_total", "Openings placed here whose end was not seen",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.outcomes().GetCounters().Forgotten); }},
+       [](const Sources& s) { return single(s.steering.outcomes().GetCounters().Discarded); }},
       {"cobaltgauge_load_in_flight", "Requests in flight in the fleet, by service/zone", "zone",
        MetricType::Gauge,
        [](const Sources& s) {
@@ -227,7 +227,7 @@
        "zone", MetricType::Gauge,
        [](const Sources& s) {
          return byZone(s, [&s](const core::LoadKey& key, std::uint32_t) -> std::optional<double> {
-           const auto room = s.peers.GetLoad().GetRoom(key.first, key.second, s.now);
+           const auto room = s.peers.GetLoad().GetZoneCapacity(key.first, key.second, s.now);
            return room ? std::optional(room->Utilization) : std::nullopt;
          });
        }},
@@ -247,9 +247,9 @@
          const core::FleetLoadCounters& counters = s.peers.GetLoad().GetCounters();
          return std::vector<MetricSample>{
              {"report_sent", static_cast<double>(counters.ReportsSent)},
-             {"report_taken", static_cast<double>(counters.ReportsTaken)},
+             {"report_taken", static_cast<double>(counters.ReportsAccepted)},
              {"report_ignored", static_cast<double>(counters.ReportsIgnored)},
-             {"summary_taken", static_cast<double>(counters.SummariesTaken)}};
+             {"summary_taken", static_cast<double>(counters.SummariesAccepted)}};
        }},
       {"cobaltgauge_zones_evacuated", "Zones whose back ends get no new flow", nullptr,
        MetricType::Gauge,
--- a/src/net/peer_fields.h
+++ b/src/net/peer_fields.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/domains/backend_group.h"
-#include "core/load/load_figures.h"
+#include "core/load/load_statistics.h"
 #include "core/messages.h"
 #include "core/view_messages.h"
 #include "net/packed_backends.h"
@@ -136,7 +136,8 @@
   return std::tie(m.replyTo, m.sentAtUs, m.nextMs, m.ageMs, m.level, m.daemons, m.loads);
 }
 auto fieldsOf(IsMessage<core::LoadSummary> auto& m) {
-  return std::tie(m.sender, m.sentAtUs, m.asks, m.nextMs, m.ageMs, m.level, m.daemons, m.loads);
+  return std::tie(m.sender, m.sentAtUs, m.isReportRequest, m.nextMs, m.ageMs, m.level, m.daemons,
+                  m.loads);
 }
 auto fieldsOf(IsMessage<core::BackendGroup> auto& m) { return std::tie(m.Service, m.Zone); }
 auto fieldsOf(IsMessage<core::GroupNotice> auto& m) { return std::tie(m.Groups); }
--- a/tests/core/admission/full_backends.h
+++ b/tests/core/admission/full_backends.h
@@ -24,7 +24,7 @@
   int Refused = 0; ///< Tries.
 };
 
-class FullBackends : public core::RoomView
+class FullBackends : public core::CapacityView
 {
 public:
   static constexpr std::size_t kSlots = 2;
@@ -62,9 +62,9 @@
       });
     }
   }
-  std::optional<core::ZoneRoom> GetRoom(core::ServiceId,
-                                        core::ZoneId,
-                                        core::Time) const override
+  std::optional<core::ZoneCapacity> GetZoneCapacity(core::ServiceId,
+                                                    core::ZoneId,
+                                                    core::Time) const override
   {
     for (auto told = this->Told.rbegin(); told != this->Told.rend(); ++told) {
       if (told->first + this->FiguresAge <= this->Now) {
@@ -155,9 +155,9 @@
     const double rejected = (this->Rejections - this->ToldRejections) /
       std::max<double>(this->Sent - this->ToldSent, 1);
     this->Told.emplace_back(this->Now,
-                            core::ZoneRoom{ static_cast<double>(inFlight) /
-                                              static_cast<double>(slots),
-                                            rejected });
+                            core::ZoneCapacity{ static_cast<double>(inFlight) /
+                                                  static_cast<double>(slots),
+                                                rejected });
     this->ToldRejections = this->Rejections;
     this->ToldSent = this->Sent;
   }
@@ -183,7 +183,7 @@
     event.Daemon = this->Random.below(this->Daemons.size());
     if (!this->Daemons[event.Daemon].Admit(MakeRoute(rank), this->Now)) {
       ++this->Tally[rank].Refused;
-      event.Result.Outcome = core::OpeningOutcome::kTurnedAway;
+      event.Result.Outcome = core::OpeningOutcome::kRejected;
       this->Events.push(event);
       return;
     }
@@ -200,7 +200,7 @@
                                 core::serviceIdOf("web"),
                                 core::kNoZone,
                                 rank,
-                                core::OpeningOutcome::kTurnedAway,
+                                core::OpeningOutcome::kRejected,
                                 kRejects };
     ++this->Sent;
     std::deque<core::Time>& finishes = this->Finishes[backend];
@@ -248,7 +248,7 @@
   int Sent = 0;
   int ToldSent = 0;
   int ToldRejections = 0;
-  std::deque<std::pair<core::Time, core::ZoneRoom>> Told;
+  std::deque<std::pair<core::Time, core::ZoneCapacity>> Told;
   std::priority_queue<Event> Events;
   sim::SeededRandom Random;
 };
--- a/tests/core/admission/rank_admission_test.cc
+++ b/tests/core/admission/rank_admission_test.cc
@@ -14,13 +14,13 @@
 constexpr std::uint32_t kLow = 2;
 
 /// Room as the fleet tells it.
-class ToldRoom : public core::RoomView
+class ToldRoom : public core::CapacityView
 {
 public:
-  std::optional<core::ZoneRoom> Told;
-  std::optional<core::ZoneRoom> GetRoom(core::ServiceId,
-                                        core::ZoneId,
-                                        core::Time) const override
+  std::optional<core::ZoneCapacity> Told;
+  std::optional<core::ZoneCapacity> GetZoneCapacity(core::ServiceId,
+                                                    core::ZoneId,
+                                                    core::Time) const override
   {
     return this->Told;
   }
@@ -206,10 +206,10 @@
       return std::vector<core::ZoneId>{ core::ZoneId{ 1 } };
     });
   }
-  room.Told = core::ZoneRoom{ 0.9, 0.4 };
+  room.Told = core::ZoneCapacity{ 0.9, 0.4 };
   site.Run(2s, Load(site, 0.5, 1.5));
   BOOST_TEST(site.CountRefused() == 0);
-  room.Told = core::ZoneRoom{ 3.0, 0.4 };
+  room.Told = core::ZoneCapacity{ 3.0, 0.4 };
   site.Run(2s, Load(site, 0.5, 1.5));
   BOOST_TEST(site.CountRefused() > 0);
   room.Told.reset();
--- a/tests/core/admission/refused_openings_test.cc
+++ b/tests/core/admission/refused_openings_test.cc
@@ -45,7 +45,7 @@
     result.Backend = core::BackendId{ port % 3U + 1 };
     result.Service = core::serviceIdOf("web");
     result.Outcome = port % 2 == 0 ? core::OpeningOutcome::kServed
-                                   : core::OpeningOutcome::kTurnedAway;
+                                   : core::OpeningOutcome::kRejected;
     this->Admission.OnOpeningEnded(result, this->now);
   }
 
--- a/tests/core/domains/silent_groups_test.cc
+++ b/tests/core/domains/silent_groups_test.cc
@@ -71,7 +71,7 @@
 
   bool ComesLast(std::uint64_t id, const BackendGroup& group = kGroup) const
   {
-    return this->Groups.ComesLast(MakeCandidate(id, group), this->Now);
+    return this->Groups.IsDeprioritized(MakeCandidate(id, group), this->Now);
   }
 };
 
--- a/tests/core/load/fleet_load_test.cc
+++ b/tests/core/load/fleet_load_test.cc
@@ -56,7 +56,7 @@
   std::optional<double> GetUtilization() const
   {
     const auto room =
-      this->Load.GetRoom(KeyOf(1).first, KeyOf(1).second, this->Now);
+      this->Load.GetZoneCapacity(KeyOf(1).first, KeyOf(1).second, this->Now);
     return room ? std::optional(room->Utilization) : std::nullopt;
   }
 };
@@ -65,7 +65,7 @@
 
 BOOST_AUTO_TEST_SUITE(fleet_load_test)
 
-BOOST_FIXTURE_TEST_CASE(a_daemon_alone_knows_the_fleets_load, RootFixture)
+BOOST_FIXTURE_TEST_CASE(single_daemon_knows_the_fleet_load, RootFixture)
 {
   BOOST_TEST(!this->GetUtilization().has_value());
   this->Meter.OnRequest(FlowOf(1), KeyOf(1), this->Now);
@@ -75,7 +75,7 @@
   BOOST_TEST(!this->GetUtilization().has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(reports_add_up_until_they_end, RootFixture)
+BOOST_FIXTURE_TEST_CASE(reports_are_summed_until_they_expire, RootFixture)
 {
   this->Meter.OnRequest(FlowOf(1), KeyOf(1), this->Now);
   this->Load.OnReport(ReportOf(2, this->Now - 100ms, 2), this->Now);
@@ -89,7 +89,7 @@
   BOOST_TEST(this->GetUtilization().value() == 0.1);
 }
 
-BOOST_FIXTURE_TEST_CASE(late_and_repeated_reports_change_nothing, RootFixture)
+BOOST_FIXTURE_TEST_CASE(late_and_repeated_reports_are_ignored, RootFixture)
 {
   this->Load.OnReport(ReportOf(2, this->Now, 2), this->Now);
   this->Load.OnReport(ReportOf(2, this->Now, 2), this->Now);
@@ -101,12 +101,12 @@
   BOOST_TEST(this->Load.GetCounters().ReportsIgnored == 4U);
 }
 
-BOOST_FIXTURE_TEST_CASE(what_a_daemon_claims_is_bounded, RootFixture)
+BOOST_FIXTURE_TEST_CASE(reported_load_is_bounded, RootFixture)
 {
   core::LoadReport report = ReportOf(2, this->Now, UINT32_MAX, UINT32_MAX);
   report.nextMs = UINT32_MAX;
   report.loads.insert(
-    report.loads.end(), 10 * core::kMostLoadsTold, report.loads[0]);
+    report.loads.end(), 10 * core::kMaxLoadsPerMessage, report.loads[0]);
   for (std::uint8_t host = 2; host < 40; ++host) {
     report.replyTo = endpoint(9, host, 7720);
     this->Load.OnReport(report, this->Now);
@@ -114,17 +114,17 @@
   this->Load.OnReport(ReportOf(50, this->Now, UINT32_MAX), this->Now);
   this->Tick();
   BOOST_TEST(this->Load.GetLoad(KeyOf(1)).InFlight <=
-             core::kLargestFleet * core::kMostOfOneDaemon);
+             core::kLargestFleet * core::kMaxLoadPerDaemon);
   BOOST_TEST(this->Load.CountDaemons() <= core::kLargestFleet);
   this->Now += 10s;
   this->Tick();
   BOOST_TEST(this->GetUtilization().value() == 0.0);
   this->Load.OnReport(ReportOf(50, this->Now, UINT32_MAX), this->Now);
   this->Tick();
-  BOOST_TEST(this->Load.GetLoad(KeyOf(1)).InFlight == core::kMostOfOneDaemon);
+  BOOST_TEST(this->Load.GetLoad(KeyOf(1)).InFlight == core::kMaxLoadPerDaemon);
 }
 
-BOOST_FIXTURE_TEST_CASE(figures_of_few_daemons_are_none, RootFixture)
+BOOST_FIXTURE_TEST_CASE(load_of_too_few_daemons_is_not_used, RootFixture)
 {
   this->Load.OnReport(ReportOf(2, this->Now, 2), this->Now);
   this->Load.OnTick({ std::nullopt, true, 5 }, this->Now);
@@ -133,15 +133,15 @@
   BOOST_TEST(this->GetUtilization().value() == 0.2);
 }
 
-BOOST_FIXTURE_TEST_CASE(zones_without_a_slot_have_no_room, RootFixture)
+BOOST_FIXTURE_TEST_CASE(zone_without_slots_has_no_idle_slot, RootFixture)
 {
   this->Tick();
   const auto room =
-    this->Load.GetRoom(KeyOf(1).first, core::ZoneId{ 2 }, this->Now);
+    this->Load.GetZoneCapacity(KeyOf(1).first, core::ZoneId{ 2 }, this->Now);
   BOOST_TEST(room.value().Utilization == 1.0);
 }
 
-BOOST_FIXTURE_TEST_CASE(rejections_are_a_share_of_openings, RootFixture)
+BOOST_FIXTURE_TEST_CASE(rejected_share_is_relative_to_openings, RootFixture)
 {
   for (std::uint64_t caller = 0; caller < 8; ++caller) {
     this->Meter.OnOpening(FlowOf(caller), KeyOf(1), this->Now);
@@ -149,16 +149,16 @@
   core::OpeningResult result;
   result.Service = KeyOf(1).first;
   result.Zone = KeyOf(1).second;
-  result.Outcome = core::OpeningOutcome::kTurnedAway;
+  result.Outcome = core::OpeningOutcome::kRejected;
   this->Meter.OnOpeningEnded(result, this->Now);
   this->Meter.OnOpeningEnded(result, this->Now);
   this->Tick();
   const auto room =
-    this->Load.GetRoom(KeyOf(1).first, KeyOf(1).second, this->Now);
+    this->Load.GetZoneCapacity(KeyOf(1).first, KeyOf(1).second, this->Now);
   BOOST_TEST(room.value().RejectedShare == 0.25);
 }
 
-BOOST_FIXTURE_TEST_CASE(nothing_is_known_where_it_is_switched_off, RootFixture)
+BOOST_FIXTURE_TEST_CASE(disabled_reports_provide_no_load, RootFixture)
 {
   this->Load.OnReport(ReportOf(2, this->Now, 2), this->Now);
   this->Load.SetEnabled(false);
@@ -167,7 +167,7 @@
   BOOST_TEST(this->Load.TakeSummaries(this->Now).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(busy_zones_are_told_of_once_and_more_often,
+BOOST_FIXTURE_TEST_CASE(busy_zone_is_logged_once_and_reported_more_often,
                         RootFixture)
 {
   this->Tick();
@@ -179,24 +179,24 @@
     this->Meter.OnRequest(FlowOf(caller), KeyOf(1), this->Now);
   }
   std::size_t summaries = 0;
-  std::vector<core::LoadCrossing> crossings;
+  std::vector<core::ZoneBusyChange> changes;
   for (int tick = 0; tick < 5; ++tick) {
     this->Now += 200ms;
     this->Tick();
     summaries += this->Load.TakeSummaries(this->Now).size();
-    for (const core::LoadCrossing& crossing : this->Load.TakeCrossings()) {
-      crossings.push_back(crossing);
+    for (const core::ZoneBusyChange& change : this->Load.TakeBusyChanges()) {
+      changes.push_back(change);
     }
   }
   BOOST_TEST(summaries == 2 * 2U); // A question, and the sum.
-  BOOST_REQUIRE_EQUAL(crossings.size(), 1U);
-  BOOST_TEST(crossings[0].IsBusy);
-  BOOST_TEST(crossings[0].Load.InFlight == 6U);
+  BOOST_REQUIRE_EQUAL(changes.size(), 1U);
+  BOOST_TEST(changes[0].IsBusy);
+  BOOST_TEST(changes[0].Load.InFlight == 6U);
   this->Now += 2s;
   this->Tick();
-  crossings = this->Load.TakeCrossings();
-  BOOST_REQUIRE_EQUAL(crossings.size(), 1U);
-  BOOST_TEST(!crossings[0].IsBusy);
+  changes = this->Load.TakeBusyChanges();
+  BOOST_REQUIRE_EQUAL(changes.size(), 1U);
+  BOOST_TEST(!changes[0].IsBusy);
 }
 
 namespace {
@@ -213,18 +213,18 @@
     std::unique_ptr<core::FleetLoad> Load;
     std::size_t Upstream = 0;
     core::Duration Offset{};
-    bool IsFrozen = false;
+    bool IsSuspended = false;
   };
   struct Message
   {
     std::size_t From = 0;
     std::size_t To = 0;
-    Content What;
+    Content Body;
   };
   static constexpr std::size_t kDaemons = 8;
 
   std::vector<std::unique_ptr<Daemon>> Daemons;
-  std::vector<Message> Waiting;
+  std::vector<Message> InTransit;
   core::Time Now = 1000s;
 
   Tree()
@@ -256,7 +256,7 @@
     const core::Time clock = this->Clock(index);
     daemon.Meter.OnRequest(
       FlowOf(1), KeyOf(static_cast<std::uint32_t>(index)), clock);
-    core::TreePlace place;
+    core::TreePosition place;
     place.IsRoot = index == 0;
     if (index != 0) {
       place.Upstream = AddressOf(daemon.Upstream);
@@ -275,13 +275,13 @@
     Daemon& daemon = *this->Daemons[index];
     const core::Time clock = this->Clock(index);
     if (auto report = daemon.Load->TakeReport(clock)) {
-      this->Waiting.push_back({ index, daemon.Upstream, *report });
+      this->InTransit.push_back({ index, daemon.Upstream, *report });
     }
     for (const core::LoadSummary& summary :
          daemon.Load->TakeSummaries(clock)) {
       for (std::size_t i = 1; i < kDaemons; ++i) {
         if (this->Daemons[i]->Upstream == index) {
-          this->Waiting.push_back({ index, i, summary });
+          this->InTransit.push_back({ index, i, summary });
         }
       }
     }
@@ -289,16 +289,16 @@
 
   void Deliver(const Message& message)
   {
-    if (this->Daemons[message.To]->IsFrozen) {
+    if (this->Daemons[message.To]->IsSuspended) {
       return;
     }
     core::FleetLoad& load = *this->Daemons[message.To]->Load;
-    if (const auto* report = std::get_if<core::LoadReport>(&message.What)) {
+    if (const auto* report = std::get_if<core::LoadReport>(&message.Body)) {
       load.OnReport(*report, this->Clock(message.To));
       this->Send(message.To);
       return;
     }
-    const auto& summary = std::get<core::LoadSummary>(message.What);
+    const auto& summary = std::get<core::LoadSummary>(message.Body);
     const core::Time sentAt =
       core::Time(static_cast<std::int64_t>(summary.sentAtUs)) -
       this->Daemons[message.From]->Offset + this->Daemons[message.To]->Offset;
@@ -308,11 +308,11 @@
 
   void DeliverAll()
   {
-    for (std::size_t i = 0; i < this->Waiting.size(); ++i) {
-      const Message message = this->Waiting[i];
+    for (std::size_t i = 0; i < this->InTransit.size(); ++i) {
+      const Message message = this->InTransit[i];
       this->Deliver(message);
     }
-    this->Waiting.clear();
+    this->InTransit.clear();
   }
 
   void Run(core::Duration span)
@@ -320,7 +320,7 @@
     for (const core::Time end = this->Now + span; this->Now < end;) {
       this->Now += 100ms;
       for (std::size_t i = kDaemons; i > 0; --i) {
-        if (!this->Daemons[i - 1]->IsFrozen) {
+        if (!this->Daemons[i - 1]->IsSuspended) {
           this->Tick(i - 1);
         }
       }
@@ -328,14 +328,14 @@
     }
   }
 
-  std::uint32_t MostCountsOf(std::size_t index) const
+  std::uint32_t GetCountAtRoot(std::size_t index) const
   {
     const core::LoadKey key = KeyOf(static_cast<std::uint32_t>(index));
     return this->Daemons[0]->Load->GetLoad(key).InFlight;
   }
 
   /// One step of a bad day.
-  void Do(unsigned command, unsigned choice)
+  void Execute(unsigned command, unsigned choice)
   {
     const std::size_t index = choice % kDaemons;
     switch (command % 8) {
@@ -356,14 +356,14 @@
       default:
         break;
     }
-    if (this->Waiting.empty()) {
+    if (this->InTransit.empty()) {
       return;
     }
-    const std::size_t at = choice % this->Waiting.size();
-    const Message message = this->Waiting[at];
+    const std::size_t at = choice % this->InTransit.size();
+    const Message message = this->InTransit[at];
     if (command % 8 != 5) { // Else it is repeated later.
-      this->Waiting.erase(this->Waiting.begin() +
-                          static_cast<std::ptrdiff_t>(at));
+      this->InTransit.erase(this->InTransit.begin() +
+                            static_cast<std::ptrdiff_t>(at));
     }
     if (command % 8 != 6) { // Else it is lost.
       this->Deliver(message);
@@ -373,7 +373,7 @@
 
 } // namespace
 
-BOOST_AUTO_TEST_CASE(all_of_a_tree_know_its_load)
+BOOST_AUTO_TEST_CASE(all_daemons_of_the_tree_know_its_load)
 {
   Tree tree;
   for (std::size_t i = 1; i < Tree::kDaemons; ++i) {
@@ -389,7 +389,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_frozen_daemon_is_missing_and_blinds_nobody)
+BOOST_AUTO_TEST_CASE(suspended_daemon_is_left_out_of_the_sum)
 {
   Tree tree;
   tree.Run(20s);
@@ -397,17 +397,17 @@
     tree.Daemons[3]->Meter.OnRequest(FlowOf(caller), KeyOf(1), tree.Clock(3));
   }
   tree.Run(1s);
-  tree.Daemons[5]->IsFrozen = true;
+  tree.Daemons[5]->IsSuspended = true;
   tree.Run(6s);
   BOOST_TEST(tree.Daemons[0]->Load->CountDaemons() == Tree::kDaemons - 1);
-  BOOST_TEST(tree.MostCountsOf(5) == 0U);
-  BOOST_TEST(tree.MostCountsOf(4) == 1U);
+  BOOST_TEST(tree.GetCountAtRoot(5) == 0U);
+  BOOST_TEST(tree.GetCountAtRoot(4) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(nobody_is_counted_twice_and_what_was_told_fades)
+BOOST_AUTO_TEST_CASE(each_daemon_is_counted_at_most_once_and_reports_expire)
 {
   std::size_t counted = 0;
-  const bool isKept = rc::check("sums hold each daemon once", [&counted] {
+  const bool holds = rc::check("sums hold each daemon once", [&counted] {
     const auto command =
       rc::gen::resize(rc::kNominalSize,
                       rc::gen::pair(rc::gen::inRange(0U, 1000U),
@@ -417,18 +417,18 @@
       rc::gen::container<std::vector<std::pair<unsigned, unsigned>>>(command));
     Tree tree;
     for (const auto& [what, choice] : commands) {
-      tree.Do(what, choice);
+      tree.Execute(what, choice);
       for (std::size_t i = 0; i < Tree::kDaemons; ++i) {
-        const std::uint32_t counts = tree.MostCountsOf(i);
+        const std::uint32_t counts = tree.GetCountAtRoot(i);
         RC_ASSERT(counts <= 1U);
         counted += i != 0 && counts == 1 ? 1U : 0U;
       }
     }
-    tree.Now += core::kLongestReportHolds;
+    tree.Now += core::kMaxReportLifetime;
     tree.Tick(0);
     RC_ASSERT(tree.Daemons[0]->Load->CountDaemons() == 1U);
   });
-  BOOST_TEST(isKept);
+  BOOST_TEST(holds);
   // The sequences reach what they are about.
   BOOST_TEST(counted > 1000U);
 }
--- a/tests/core/load/load_meter_test.cc
+++ b/tests/core/load/load_meter_test.cc
@@ -27,7 +27,7 @@
     return loads.empty() ? core::ZoneLoad{} : loads[0];
   }
 
-  void End(OpeningOutcome outcome)
+  void EndOpening(OpeningOutcome outcome)
   {
     core::OpeningResult result;
     result.Service = this->Key.first;
@@ -42,12 +42,12 @@
     this->Meter.OnTick(this->Now);
   }
 
-  void LearnUsual(core::Duration time)
+  void LearnResponseTime(core::Duration time)
   {
-    for (std::size_t i = 0; i < core::kAnswersBeforeShort; ++i) {
+    for (std::size_t i = 0; i < core::kMinResponseSamples; ++i) {
       this->Meter.OnRequest(FlowOf(1), this->Key, this->Now);
       this->Now += time;
-      this->Meter.OnAnswered(FlowOf(1), this->Now);
+      this->Meter.OnResponse(FlowOf(1), this->Now);
     }
   }
 };
@@ -56,34 +56,34 @@
 
 BOOST_AUTO_TEST_SUITE(load_meter_test)
 
-BOOST_FIXTURE_TEST_CASE(requests_are_in_flight_until_their_answer,
+BOOST_FIXTURE_TEST_CASE(requests_are_in_flight_until_their_response,
                         MeterFixture)
 {
   this->Meter.OnOpening(FlowOf(1), this->Key, this->Now);
   BOOST_TEST(this->Get().InFlight == 1U);
-  this->Meter.OnAnswered(FlowOf(1), this->Now);
+  this->Meter.OnResponse(FlowOf(1), this->Now);
   BOOST_TEST(this->Get().InFlight == 0U);
   this->Meter.OnRequest(FlowOf(1), this->Key, this->Now);
   this->Meter.OnRequest(FlowOf(1), this->Key, this->Now);
   this->Meter.OnRequest(FlowOf(2), this->Key, this->Now);
   BOOST_TEST(this->Get().InFlight == 2U);
-  this->Meter.OnAnswered(FlowOf(1), this->Now);
-  this->Meter.OnAnswered(FlowOf(1), this->Now);
-  this->Meter.OnGone(FlowOf(2));
+  this->Meter.OnResponse(FlowOf(1), this->Now);
+  this->Meter.OnResponse(FlowOf(1), this->Now);
+  this->Meter.OnFlowEnded(FlowOf(2));
   BOOST_TEST(this->Get().InFlight == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(openings_and_rejections_count_for_a_second,
+BOOST_FIXTURE_TEST_CASE(openings_and_rejections_are_counted_for_one_second,
                         MeterFixture)
 {
   for (int i = 0; i < 10; ++i) {
     this->Meter.OnOpening(FlowOf(1), this->Key, this->Now);
-    this->End(i % 2 == 0 ? OpeningOutcome::kTurnedAway
-                         : OpeningOutcome::kServed);
+    this->EndOpening(i % 2 == 0 ? OpeningOutcome::kRejected
+                                : OpeningOutcome::kServed);
     this->Wait(100ms);
   }
-  this->End(OpeningOutcome::kReset);
-  this->End(OpeningOutcome::kSilent);
+  this->EndOpening(OpeningOutcome::kReset);
+  this->EndOpening(OpeningOutcome::kUnanswered);
   BOOST_TEST(this->Get().OpeningsInSecond >= 8U);
   BOOST_TEST(this->Get().OpeningsInSecond <= 10U);
   BOOST_TEST(this->Get().RejectedInSecond >= 5U);
@@ -94,22 +94,23 @@
   BOOST_TEST(this->Meter.GetLoads(this->Now).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(requests_whose_callers_vanished_fade, MeterFixture)
+BOOST_FIXTURE_TEST_CASE(requests_without_response_expire, MeterFixture)
 {
   this->Meter.OnOpening(FlowOf(1), this->Key, this->Now);
   this->Meter.OnRequest(FlowOf(2), this->Key, this->Now);
-  this->Wait(core::kOpeningFades);
+  this->Wait(core::kOpeningTimeout);
   BOOST_TEST(this->Get().InFlight == 1U);
-  this->Wait(core::kFadesLatest);
+  this->Wait(core::kMaxRequestTimeout);
   BOOST_TEST(this->Get().InFlight == 0U);
-  this->Wait(core::kRequestForgottenAfter);
-  this->Meter.OnAnswered(FlowOf(2), this->Now);
+  this->Wait(core::kRequestRetention);
+  this->Meter.OnResponse(FlowOf(2), this->Now);
   BOOST_TEST(this->Meter.GetLoads(this->Now).empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(they_fade_sooner_where_answers_are_quick, MeterFixture)
+BOOST_FIXTURE_TEST_CASE(requests_expire_sooner_when_responses_are_fast,
+                        MeterFixture)
 {
-  this->LearnUsual(100ms);
+  this->LearnResponseTime(100ms);
   this->Meter.OnRequest(FlowOf(2), this->Key, this->Now);
   this->Wait(250ms);
   BOOST_TEST(this->Get().InFlight == 1U);
@@ -117,20 +118,21 @@
   BOOST_TEST(this->Get().InFlight == 0U);
 }
 
-BOOST_FIXTURE_TEST_CASE(answers_that_get_slow_are_learned, MeterFixture)
+BOOST_FIXTURE_TEST_CASE(slower_responses_extend_the_request_timeout,
+                        MeterFixture)
 {
-  this->LearnUsual(40ms);
+  this->LearnResponseTime(40ms);
   for (std::uint64_t caller = 2; caller < 40; ++caller) {
     this->Meter.OnRequest(FlowOf(caller), this->Key, this->Now);
     this->Wait(400ms);
-    this->Meter.OnAnswered(FlowOf(caller), this->Now);
+    this->Meter.OnResponse(FlowOf(caller), this->Now);
   }
   this->Meter.OnRequest(FlowOf(1), this->Key, this->Now);
   this->Wait(600ms);
   BOOST_TEST(this->Get().InFlight == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(the_steering_counts_what_it_sends_on, TokenFixture)
+BOOST_FIXTURE_TEST_CASE(steering_counts_forwarded_requests, TokenFixture)
 {
   core::LoadMeter meter;
   this->steering.setLoadMeter(&meter);
@@ -161,7 +163,7 @@
   BOOST_TEST(loads[0].OpeningsInSecond == 1U);
 }
 
-BOOST_FIXTURE_TEST_CASE(cold_and_evacuated_back_ends_have_no_slots,
+BOOST_FIXTURE_TEST_CASE(warming_up_and_evacuated_backends_have_no_slots,
                         TokenFixture)
 {
   const core::LoadKey key{ core::serviceIdOf("web"), core::zoneIdOf("a") };
--- a/tests/core/load/relayed_load_test.cc
+++ b/tests/core/load/relayed_load_test.cc
@@ -3,7 +3,7 @@
 namespace cobaltgauge::tests {
 namespace {
 
-constexpr std::size_t kFleet = 40;
+constexpr std::size_t kDaemons = 40;
 
 /// A fleet in which each daemon has a request in flight all the time.
 struct LoadedFleet : RelayFixture
@@ -13,7 +13,7 @@
 
   LoadedFleet()
   {
-    this->Grow(kFleet);
+    this->Grow(kDaemons);
     this->Store.put("servers/1", makeRegistration(1, "web", 1, 1));
     this->AddBackends(10);
   }
@@ -34,21 +34,21 @@
     return this->At(index).Load.GetLoad(this->Key).InFlight;
   }
 
-  std::optional<core::ZoneRoom> RoomAt(std::size_t index)
+  std::optional<core::ZoneCapacity> CapacityAt(std::size_t index)
   {
     Node& node = this->At(index);
-    return node.Load.GetRoom(
+    return node.Load.GetZoneCapacity(
       this->Key.first, this->Key.second, node.Clock(this->Now));
   }
 
   /// \return how many daemons have figures, with the load of `least` daemons
   /// at least and of `most` at most.
-  std::size_t CountKnowing(std::uint32_t least, std::uint32_t most)
+  std::size_t CountInformed(std::uint32_t least, std::uint32_t most)
   {
     std::size_t count = 0;
     for (std::size_t i = 0; i < this->Nodes.size(); ++i) {
       const std::uint32_t known = this->InFlightAt(i);
-      const bool isKnown = this->RoomAt(i).has_value();
+      const bool isKnown = this->CapacityAt(i).has_value();
       BOOST_TEST((!isKnown || known <= most));
       count += isKnown && known >= least ? 1U : 0U;
     }
@@ -60,70 +60,71 @@
 
 BOOST_FIXTURE_TEST_SUITE(relayed_load_test, LoadedFleet)
 
-BOOST_AUTO_TEST_CASE(all_daemons_know_the_fleets_load)
+BOOST_AUTO_TEST_CASE(all_daemons_receive_the_fleet_load)
 {
   this->RunLoaded(20s);
-  BOOST_TEST(this->CountKnowing(kFleet - 2, kFleet) == kFleet);
+  BOOST_TEST(this->CountInformed(kDaemons - 2, kDaemons) == kDaemons);
   // 11 back ends with two slots each.
-  BOOST_TEST(this->RoomAt(30).value().Utilization > 0.9);
+  BOOST_TEST(this->CapacityAt(30).value().Utilization > 0.9);
 }
 
-BOOST_AUTO_TEST_CASE(messages_that_are_lost_hide_little)
+BOOST_AUTO_TEST_CASE(lost_messages_hide_little_load)
 {
   this->RunLoaded(20s);
   this->Lost = 20;
   this->RunLoaded(10s);
-  BOOST_TEST(this->CountKnowing(kFleet / 2, kFleet) > kFleet * 3 / 4);
+  BOOST_TEST(this->CountInformed(kDaemons / 2, kDaemons) > kDaemons * 3 / 4);
 }
 
-BOOST_AUTO_TEST_CASE(a_dead_reader_is_replaced)
+BOOST_AUTO_TEST_CASE(failed_reader_is_replaced)
 {
   this->RunLoaded(20s);
   for (Node* reader : this->Readers()) {
     reader->Alive = false;
   }
   this->RunLoaded(6s);
-  BOOST_TEST(this->CountKnowing(kFleet - 4, kFleet) >= kFleet - 2);
+  BOOST_TEST(this->CountInformed(kDaemons - 4, kDaemons) >= kDaemons - 2);
 }
 
-BOOST_AUTO_TEST_CASE(halves_know_their_own_load)
+BOOST_AUTO_TEST_CASE(partitioned_half_knows_its_own_load)
 {
   this->RunLoaded(20s);
-  for (std::size_t i = kFleet / 2; i < kFleet; ++i) {
+  for (std::size_t i = kDaemons / 2; i < kDaemons; ++i) {
     this->At(i).PeersCut = true;
   }
   this->RunLoaded(8s);
   // Those cut off from everyone know nothing rather than their own alone.
-  BOOST_TEST(this->CountKnowing(kFleet / 2 - 2, kFleet / 2) == kFleet / 2);
-  for (std::size_t i = kFleet / 2; i < kFleet; ++i) {
-    BOOST_TEST(!this->RoomAt(i).has_value());
+  BOOST_TEST(this->CountInformed(kDaemons / 2 - 2, kDaemons / 2) ==
+             kDaemons / 2);
+  for (std::size_t i = kDaemons / 2; i < kDaemons; ++i) {
+    BOOST_TEST(!this->CapacityAt(i).has_value());
     this->At(i).PeersCut = false;
   }
   this->RunLoaded(10s);
-  BOOST_TEST(this->CountKnowing(kFleet - 2, kFleet) == kFleet);
+  BOOST_TEST(this->CountInformed(kDaemons - 2, kDaemons) == kDaemons);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_known_while_the_store_is_away)
+BOOST_AUTO_TEST_CASE(no_load_is_known_while_the_store_is_unreachable)
 {
   this->RunLoaded(20s);
   for (auto& node : this->Nodes) {
     node->StoreSilent = true;
   }
   this->RunLoaded(8s);
-  BOOST_TEST(this->CountKnowing(0, kFleet) == 0U);
+  BOOST_TEST(this->CountInformed(0, kDaemons) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_frozen_daemon_comes_back_without_old_figures)
+BOOST_AUTO_TEST_CASE(resumed_daemon_discards_old_statistics)
 {
   this->RunLoaded(20s);
   this->At(30).Alive = false;
   this->RunLoaded(6s);
-  BOOST_TEST(this->CountKnowing(kFleet / 2, kFleet - 1) >= kFleet / 2);
+  BOOST_TEST(this->CountInformed(kDaemons / 2, kDaemons - 1) >= kDaemons / 2);
   this->At(30).Alive = true;
   this->At(30).Relay.OnResume();
-  BOOST_TEST(!this->RoomAt(30).has_value());
+  BOOST_TEST(!this->CapacityAt(30).has_value());
   this->RunLoaded(8s);
-  BOOST_TEST(this->CountKnowing(kFleet - 2, kFleet) == kFleet);
+  BOOST_TEST(this->CountInformed(kDaemons - 2, kDaemons) == kDaemons);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/placement/candidate_list_test.cc
+++ b/tests/core/placement/candidate_list_test.cc
@@ -19,7 +19,7 @@
 
 BOOST_AUTO_TEST_SUITE(CandidateListTest)
 
-BOOST_AUTO_TEST_CASE(holds_what_was_put_last)
+BOOST_AUTO_TEST_CASE(put_replaces_an_existing_candidate)
 {
   core::CandidateList list;
   list.Put(MakeCandidate(1, 2));
@@ -30,7 +30,7 @@
   BOOST_TEST(list.Find(core::BackendId{ 2 }) == nullptr);
 }
 
-BOOST_AUTO_TEST_CASE(finds_all_after_any_order_of_changes)
+BOOST_AUTO_TEST_CASE(find_works_after_random_changes)
 {
   core::CandidateList list;
   std::set<std::uint64_t> expected;
--- a/tests/core/placement/spilled_openings_test.cc
+++ b/tests/core/placement/spilled_openings_test.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Prefers zone "a" as eight to one.
-struct OwnZoneFirst : core::PlacementWeights
+struct PreferZoneA : core::PlacementWeights
 {
   std::uint32_t weightOf(const core::Registration& registration) override
   {
@@ -18,36 +18,36 @@
   }
 };
 
-struct NamedRoom : core::RoomView
+struct FixedZoneCapacity : core::CapacityView
 {
-  std::map<core::ZoneId, core::ZoneRoom> Zones;
+  std::map<core::ZoneId, core::ZoneCapacity> Zones;
 
-  std::optional<core::ZoneRoom> GetRoom(core::ServiceId,
-                                        core::ZoneId zone,
-                                        core::Time) const override
+  std::optional<core::ZoneCapacity> GetZoneCapacity(core::ServiceId,
+                                                    core::ZoneId zone,
+                                                    core::Time) const override
   {
     const auto found = this->Zones.find(zone);
     return found == this->Zones.end() ? std::nullopt
                                       : std::optional(found->second);
   }
-  void Set(const std::string& zone, double inFlight)
+  void SetLoad(const std::string& zone, double inFlight)
   {
     this->Zones[core::zoneIdOf(zone)] = { inFlight, 0, 300ms };
   }
 };
 
-constexpr std::uint8_t kPerZone = 10;
-constexpr double kCalm = 0.2;
-constexpr double kFull = 4;
+constexpr std::uint8_t kBackendsPerZone = 10;
+constexpr double kLowLoad = 0.2;
+constexpr double kOverload = 4;
 
 struct SpillFixture
 {
   sim::SeededRandom Random{ 1 };
-  OwnZoneFirst Weights;
+  PreferZoneA Weights;
   core::TokenSteering Steering{ core::TokenSteeringOptions{},
                                 Weights,
                                 Random };
-  NamedRoom Room;
+  FixedZoneCapacity Capacity;
   core::Time Now = 100s;
   core::Revision Revision = 0;
   std::uint16_t Port = 1000;
@@ -57,16 +57,16 @@
   {
     this->Steering.routes().offer(makeRoutes(1, { { 1, "web" } }), this->Now);
     this->Steering.setViewState(true, true);
-    this->Steering.spill().AddSource(this->Room);
+    this->Steering.spill().AddSource(this->Capacity);
     for (const char* zone : { "a", "b", "c" }) {
       this->Put(zone);
-      this->Room.Set(zone, kCalm);
+      this->Capacity.SetLoad(zone, kLowLoad);
     }
   }
 
   void Put(const std::string& zone, std::chrono::milliseconds warmUpLeft = 0ms)
   {
-    for (std::uint8_t host = 0; host < kPerZone; ++host) {
+    for (std::uint8_t host = 0; host < kBackendsPerZone; ++host) {
       const std::uint64_t id = (++this->Revision).number;
       core::Registration item =
         makeRegistration(id, "web", 1, static_cast<std::uint8_t>(id));
@@ -80,7 +80,7 @@
 
   /// Opens flows that end at once, for four seconds, then counts for four
   /// more.
-  void Run()
+  void PlaceOpenings()
   {
     for (int opening = 0; opening < 800; ++opening) {
       if (opening == 400) {
@@ -104,19 +104,19 @@
   std::map<core::BackendId, std::string> Zones;
 };
 
-BOOST_FIXTURE_TEST_SUITE(SpilledOpeningsSuite, SpillFixture)
+BOOST_FIXTURE_TEST_SUITE(SpilledOpeningsTest, SpillFixture)
 
-BOOST_AUTO_TEST_CASE(APreferredZoneWithRoomGetsNearlyAll)
+BOOST_AUTO_TEST_CASE(PreferredZoneWithCapacityGetsMostOpenings)
 {
-  this->Run();
+  this->PlaceOpenings();
   BOOST_TEST(this->Placed["a"] > 360);
   BOOST_TEST(this->Steering.spill().CountSpilled() == 0);
 }
 
-BOOST_AUTO_TEST_CASE(AFullZoneLeavesOpeningsToOthers)
+BOOST_AUTO_TEST_CASE(OverloadedZoneSpillsToOthers)
 {
-  this->Room.Set("a", kFull);
-  this->Run();
+  this->Capacity.SetLoad("a", kOverload);
+  this->PlaceOpenings();
   // The figures say full whatever it gets, so it keeps the least.
   BOOST_TEST(this->Placed["a"] < 40);
   BOOST_TEST(this->Placed["a"] > 0);
@@ -125,66 +125,66 @@
   BOOST_TEST(this->Steering.spill().CountSpilled() > 360);
 }
 
-BOOST_AUTO_TEST_CASE(NoZoneThatIsFullTakesWhatAnotherLeaves)
+BOOST_AUTO_TEST_CASE(OverloadedZoneReceivesNoSpillover)
 {
-  this->Room.Set("a", kFull);
-  this->Room.Set("b", kFull);
-  this->Run();
+  this->Capacity.SetLoad("a", kOverload);
+  this->Capacity.SetLoad("b", kOverload);
+  this->PlaceOpenings();
   BOOST_TEST(this->Placed["b"] < 40);
   BOOST_TEST(this->Placed["c"] > 320);
 }
 
-BOOST_AUTO_TEST_CASE(AZoneWithoutFiguresTakesNothing)
+BOOST_AUTO_TEST_CASE(ZoneWithoutStatisticsReceivesNoSpillover)
 {
-  this->Room.Set("a", kFull);
-  this->Room.Zones.erase(core::zoneIdOf("b"));
-  this->Run();
+  this->Capacity.SetLoad("a", kOverload);
+  this->Capacity.Zones.erase(core::zoneIdOf("b"));
+  this->PlaceOpenings();
   BOOST_TEST(this->Placed["b"] < 20);
   BOOST_TEST(this->Placed["c"] > 340);
 }
 
-BOOST_AUTO_TEST_CASE(AZoneThatIsColdTakesNothing)
+BOOST_AUTO_TEST_CASE(WarmingUpZoneReceivesNoSpillover)
 {
-  this->Room.Set("a", kFull);
+  this->Capacity.SetLoad("a", kOverload);
   this->Put("cold", 60000ms);
-  this->Room.Set("cold", 0);
-  this->Run();
+  this->Capacity.SetLoad("cold", 0);
+  this->PlaceOpenings();
   BOOST_TEST(this->Placed["cold"] < 20);
 }
 
-BOOST_AUTO_TEST_CASE(AZoneThatIsOutTakesNothing)
+BOOST_AUTO_TEST_CASE(EvacuatedZoneReceivesNoOpenings)
 {
-  this->Room.Set("a", kFull);
+  this->Capacity.SetLoad("a", kOverload);
   this->Steering.backends().putEvacuation("zones/b", "b", 1000);
-  this->Run();
+  this->PlaceOpenings();
   BOOST_TEST(this->Placed["b"] == 0);
   BOOST_TEST(this->Placed["c"] > 340);
 }
 
-BOOST_AUTO_TEST_CASE(WeightZeroIsNeverChosen)
+BOOST_AUTO_TEST_CASE(ZeroWeightBackendsAreNeverChosen)
 {
   this->Put("never");
-  this->Room.Set("never", 0);
+  this->Capacity.SetLoad("never", 0);
   for (const char* zone : { "a", "b", "c" }) {
-    this->Room.Set(zone, kFull);
+    this->Capacity.SetLoad(zone, kOverload);
   }
-  this->Run();
+  this->PlaceOpenings();
   BOOST_TEST(this->Placed["never"] == 0);
 }
 
-BOOST_AUTO_TEST_CASE(BackEndsThatComeLastAreNoRoom)
+BOOST_AUTO_TEST_CASE(DeprioritizedBackendsReceiveNoSpillover)
 {
-  struct AllOfB : core::Demotion
+  struct DemoteOtherZones : core::Demotion
   {
-    bool ComesLast(const core::PlacementCandidate& candidate,
-                   core::Time) const override
+    bool IsDeprioritized(const core::PlacementCandidate& candidate,
+                         core::Time) const override
     {
       return candidate.zone != core::zoneIdOf("a");
     }
   } demotion;
   this->Steering.addDemotion(demotion);
-  this->Room.Set("a", kFull);
-  this->Run();
+  this->Capacity.SetLoad("a", kOverload);
+  this->PlaceOpenings();
   BOOST_TEST(this->Placed["a"] == 400);
 }
 
--- a/tests/net/peer_codec_test.cc
+++ b/tests/net/peer_codec_test.cc
@@ -89,7 +89,7 @@
   core::LoadSummary summary;
   summary.sender.port = 7721;
   summary.sentAtUs = 5;
-  summary.asks = true;
+  summary.isReportRequest = true;
   summary.nextMs = 10;
   summary.ageMs = 6;
   summary.level = 9;
@@ -109,7 +109,7 @@
   const auto& told = std::get<core::LoadSummary>(down->frame);
   BOOST_TEST((told.sender == summary.sender));
   BOOST_TEST(told.sentAtUs == summary.sentAtUs);
-  BOOST_TEST(told.asks);
+  BOOST_TEST(told.isReportRequest);
   BOOST_TEST(told.nextMs == summary.nextMs);
   BOOST_TEST(told.ageMs == summary.ageMs);
   BOOST_TEST(told.level == summary.level);
