--- a/src/core/load/fleet_load.cc
+++ b/src/core/load/fleet_load.cc
@@ -8,7 +8,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// BusyChanges kept until they are taken; one for each zone at most.
+/// Maximum number of changes that wait to be logged.
 constexpr std::size_t kMaxPendingBusyChanges = kMaxLoadsPerMessage;
 
 std::uint32_t ToMs(Duration duration)
@@ -82,7 +82,7 @@
 
 void FleetLoad::StartRound(Time now)
 {
-  // Ticks that come late do not add up.
+  // Keep the rate despite late ticks, but do not catch up missed rounds.
   const bool isRegular = now - this->NextRoundAt < this->Interval;
   this->NextRoundAt = (isRegular ? this->NextRoundAt : now) + this->Interval;
   this->RoundStartedAt = now;
@@ -130,13 +130,13 @@
 
 FleetLoad::TreeLoad FleetLoad::SumReports(std::uint32_t level, Time now) const
 {
-  this->Meter.OnTick(now); // Requests have faded since the last one.
+  this->Meter.OnTick(now); // Expire requests.
   TreeLoad sum;
   sum.OldestAt = now;
   sum.Loads.Add(this->Meter.GetLoads(now), 1);
   for (const auto& [follower, entry] : this->FollowerReports) {
-    // Who follows each other for a moment would count the other's sum.
-    // One old entry would make the figures of all others too old to use.
+    // Skip the upstream, as two daemons may follow each other for a short
+    // time, and old reports, as the oldest one sets the age of the sum.
     const Time asOf =
       entry.SentAt - std::chrono::milliseconds(entry.Report.ageMs);
     if (entry.ExpiresAt > now && now - asOf < kMaxSummedReportAge &&
@@ -158,7 +158,7 @@
 double FleetLoad::GetUtilization(const LoadKey& key, std::uint32_t slots) const
 {
   const double inFlight = this->FleetTotals.Get(key).InFlight;
-  // Without a slot there is no idle one.
+  // A zone without slots has no idle slot.
   return slots == 0 ? std::max(inFlight, 1.0) : inFlight / slots;
 }
 
--- a/src/core/load/fleet_load.h
+++ b/src/core/load/fleet_load.h
@@ -1,6 +1,6 @@
 /// @file
-/// The load that the whole fleet sees, as far as this daemon has heard.  See
-/// docs/design/008-scarce-capacity.md.
+/// Load of the whole fleet, as reported to this daemon.  See
+/// docs/design/008-scarce-room.md.
 #pragma once
 
 #include <functional>
@@ -15,16 +15,16 @@
 
 namespace cobaltgauge::core {
 
-/// Slots of the back expiresAt of a service in a zone that take openings; zero
-/// where they are all cold.
+/// Slots of the backends of a service in a zone that accept openings; zero if
+/// all are warming up.
 using ZoneSlots = std::map<LoadKey, std::uint32_t>;
 
-/// Where a daemon stands in the tree of followers.
+/// Position of a daemon in the relay tree.
 struct TreePosition
 {
   std::optional<Endpoint> Upstream;
-  bool IsRoot = false;       ///< Its tree is the fleet that it can reach.
-  std::uint32_t Daemons = 0; ///< In the whole tree; zero: not known.
+  bool IsRoot = false;
+  std::uint32_t Daemons = 0; ///< Number in the whole tree; zero if unknown.
 };
 
 /// Counters of a FleetLoad; see docs/METRICS.md.
@@ -36,7 +36,7 @@
   std::uint64_t SummariesAccepted = 0;
 };
 
-/// A zone has become busy for a service, or is no longer.
+/// A zone became busy for a service or is no longer busy.
 struct ZoneBusyChange
 {
   LoadKey Key;
@@ -47,58 +47,58 @@
 };
 
 /** \class FleetLoad
- * \brief Add up the loads of a tree of followers, and say how much capacity
- * is.
+ * \brief Sums the loads of the relay tree and provides the used capacity of
+ * zones.
  *
- * In each round the root asks; the question travels down at once, and each
- * daemon answers the one that it follows with the sum of its own load and of
- * its followers' reports, as soon as it has those.  The root's sum travels
- * down.  A daemon that sees callers rejected in calm times reports unasked.
+ * In each round the root sends a report request down the tree.  Each daemon
+ * reports the sum of its own load and of its followers' reports to its
+ * upstream as soon as it has received those.  The root sends the total down
+ * the tree as a summary.  A daemon that sees rejections while the report
+ * interval is long reports without a request.
  *
- * No daemon is counted twice: a report holds until a time on its receiver's
- * clock, however late it arrives, and who begins to follow another daemon
- * tells that one nothing until what it told the one before is counted on no
- * level above.  So the receiver adds up only reports of those who know that
- * they are that far below the root.
+ * No daemon is counted twice.  A report expires at a time on its receiver's
+ * clock, however late it arrives.  After a change of upstream, a daemon sends
+ * no report until its last report to the previous upstream has expired on all
+ * levels.  Only reports from a level further below the root are summed.
  */
 class FleetLoad : public CapacityView
 {
 public:
   using SlotCounter = std::function<ZoneSlots(Time now)>;
 
-  /// \param self where this daemon takes peer messages.
+  /// \param self address at which this daemon receives peer messages.
   /// \param meter outlives this object.
   FleetLoad(const Endpoint& self, LoadMeter& meter, SlotCounter countSlots);
 
-  /// Off: nothing is told or known.
+  /// While disabled, nothing is reported and no statistics are available.
   void SetEnabled(bool enabled);
   bool IsEnabled() const { return this->Enabled; }
 
   void OnTick(const TreePosition& position, Time now);
-  /// Note the clock of the daemon that is followed.
+  /// Record the clock of the upstream daemon.
   void OnUpstreamClock(std::uint64_t clockUs, Time now);
   void OnReport(const LoadReport& report, Time now);
-  /// \param sentAt on this daemon's clock; not later than it was.
+  /// \param sentAt time of sending on this daemon's clock, or earlier.
   void OnSummary(const LoadSummary& summary, Time sentAt, Time now);
-  /// Call after the process was suspended.
+  /// Must be called after the process was suspended.
   void OnResume();
 
-  /// Take the report that is due to the daemon that is followed.
+  /// Return the report that is due to the upstream daemon, if any.
   std::optional<LoadReport> TakeReport(Time now);
 
-  /// Get the daemon that reports are made for, as of the last tick.
+  /// Get the upstream daemon as of the last tick.
   const std::optional<Endpoint>& GetUpstream() const
   {
     return this->Position.Upstream;
   }
-  /// Take what is due to the followers.
+  /// Return the messages that are due to the followers.
   std::vector<LoadSummary> TakeSummaries(Time now);
   std::vector<ZoneBusyChange> TakeBusyChanges();
 
   std::optional<ZoneCapacity> GetZoneCapacity(ServiceId service,
                                               ZoneId zone,
                                               Time now) const override;
-  /// Get how old the figures are; nothing where there are none.
+  /// Get the age of the statistics; nothing if there are none.
   std::optional<Duration> GetAge(Time now) const;
   ZoneLoad GetLoad(const LoadKey& key) const
   {
@@ -122,22 +122,23 @@
   struct TreeLoad
   {
     LoadSum Loads;
-    Time OldestAt{}; ///< Of the oldest entry.
+    Time OldestAt{}; ///< Time of measurement of the oldest part.
   };
 
   std::optional<std::uint32_t> GetLevel() const;
   TreeLoad SumReports(std::uint32_t level, Time now) const;
-  /// Make the sum of this daemon's tree what is known of the fleet.
+  /// Set the fleet totals to the sum of this daemon's tree, at the root.
   void UpdateFleetTotals(Time now);
-  /// Ask for reports, at the root.
+  /// Request reports, at the root.
   void StartRound(Time now);
   void UpdateInterval(Time now);
   void DetectBusyChanges(Time now);
-  /// Tell whether the reports of a round are here, or not waited for.
+  /// Return whether all reports of a round have arrived or its timeout has
+  /// expired.
   bool HasGatheredReports(Time now) const;
-  /// Tell whether callers were rejected that nobody has asked about.
+  /// Return whether a report about rejections is due without a request.
   bool HasUnreportedRejections(Time now) const;
-  /// Tell whether the figures are fresh, and hold enough daemons.
+  /// Return whether the statistics are recent and cover enough daemons.
   bool IsUsable(Time now) const;
   bool IsBusy() const { return this->Interval < kNormalReportInterval; }
   double GetUtilization(const LoadKey& key, std::uint32_t slots) const;
@@ -149,26 +150,32 @@
   SlotCounter CountSlots;
   bool Enabled = true;
   TreePosition Position;
-  std::optional<std::int64_t>
-    UpstreamClockOffset; ///< Upstream's clock less this one.
+  /// Upstream's clock minus this daemon's, in microseconds.
+  std::optional<std::int64_t> UpstreamClockOffset;
   std::optional<std::uint32_t> UpstreamLevel;
-  std::uint64_t SummarySentAtUs = 0; ///< By upstream's clock, the latest.
+  /// Latest times of sending, by upstream's clock.
+  std::uint64_t SummarySentAtUs = 0;
   std::uint64_t RequestSentAtUs = 0;
   std::map<Endpoint, FollowerReport> FollowerReports; ///< By follower.
   ZoneSlots Slots;
   Time NextSlotCountAt{};
   LoadSum FleetTotals;
   std::optional<Time> FleetTotalsAsOf;
-  std::optional<Time>
-    RoundStartedAt; ///< When the round began, until it is gathered.
-  Duration Interval = kNormalReportInterval; ///< Of rounds, by the root.
-  bool HasPendingRequest = false;            ///< For the followers.
-  bool HasPendingSummary = false;            ///< For the followers.
-  Time NextRoundAt{};  ///< Of the next round, at the root.
-  Time BusyUntil{};    ///< At the root.
-  Time LastReportAt{}; ///< Of the last report unasked.
+  /// Start of the round; nothing once the reports are complete.
+  std::optional<Time> RoundStartedAt;
+  /// Interval between rounds, set by the root.
+  Duration Interval = kNormalReportInterval;
+  // Messages due to the followers.
+  bool HasPendingRequest = false;
+  bool HasPendingSummary = false;
+  // Used by the root only.
+  Time NextRoundAt{};
+  Time BusyUntil{};
+
+  Time LastReportAt{};
   std::optional<Endpoint> LastReportTarget;
-  Time LastReportExpiresAt{}; ///< What was told may be, on some level above.
+  /// When the last report has expired on all levels above.
+  Time LastReportExpiresAt{};
   std::map<LoadKey, bool> BusyZones;
   std::vector<ZoneBusyChange> BusyChanges;
   FleetLoadCounters Counters;
--- a/src/core/load/load_limits.h
+++ b/src/core/load/load_limits.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sizes and time limits of the load figures, with the reason for each.
+/// Limits and time constants of load measurement and reporting.
 #pragma once
 
 #include <cstddef>
@@ -11,104 +11,101 @@
 
 using namespace std::chrono_literals;
 
-/// Callers send an opening again after this long.
+/// Time after which clients retransmit an opening.
 inline constexpr Duration kInitialRetransmissionTimeout = 200ms;
-/// An opening with no packet after it for this long was reset: the callers'
-/// time and half of it for packets that waited on their way.
+/// An opening without further packets for this long was reset.  Includes a
+/// margin for packets delayed in the network.
 inline constexpr Duration kResetDetectionTimeout =
   kInitialRetransmissionTimeout * 3 / 2;
-/// A short answer that nothing follows for this long is whole; the callers'
-/// time until they send again.
+/// A short response is complete if no packet follows for this long, which is
+/// the retransmission timeout of clients.
 inline constexpr Duration kResponseCompleteTimeout = 200ms;
-/// A request without an answer for so many times the usual time, and for
-/// kAnswerLate, was reset: its caller shows nothing after that.  A full queue
-/// makes answers five times as late.
+/// A request without a response for this many times the typical response time,
+/// and for at least kAnswerLate, was reset.  Larger than the slowdown caused
+/// by a full queue.
 inline constexpr std::uint32_t kResetTimeoutFactor = 6;
-/// A watched flow without a packet for this long is forgotten, its caller has
-/// gone elsewhere: longer than callers wait for an answer.
+/// A flow without packets for this long is no longer tracked; longer than
+/// clients wait for a response.
 inline constexpr Duration kTrackingIdleTimeout = 15s;
 inline constexpr Duration kIdleSweepInterval = 1s;
-/// Openings whose end is awaited at once; a busy daemon has about 1,000.
+/// Maximum number of openings tracked at the same time.
 inline constexpr std::size_t kMaxTrackedOpenings = 8192;
 
-/// Answers of a route that are remembered, and those that have to be known
-/// before any counts as short.
+/// Number of response lengths kept for each route.
 inline constexpr std::size_t kResponseLengthSamples = 32;
+/// Minimum number of responses before any is classified as short or late.
 inline constexpr std::size_t kMinResponseSamples = 16;
-/// An answer is short where the usual one is this many times as long: one with
-/// content has the headers of a rejection, and as much again twice.
+/// A response is short if the typical length is at least this many times as
+/// large.
 inline constexpr std::uint32_t kTypicalToShortRatio = 3;
-/// Longest answer that only says "not run": a status line and a few headers.
-/// Of lengths around 2,000 that are spread widely, one in 1,000 is as short.
+/// Maximum length in bytes of a rejection: a status line and a few headers.
 inline constexpr std::uint32_t kMaxRejectionBytes = 256;
-/// Lengths of a route are not stable where more than one in so many lies
-/// between what is short and twice that.
+/// Rejections are not detected on a route where more than one response in this
+/// many has between one and two times the maximum short length.
 inline constexpr std::size_t kMinResponsesPerNearShort = 8;
-/// One short answer in so many is remembered: a route keeps its usual length
-/// until all but one in 25 answers are short, and learns a new one then.
+/// One in this many short responses is kept as a sample, so that a burst of
+/// rejections does not change the typical length.
 inline constexpr std::uint32_t kShortResponsesPerSample = 8;
-/// Routes whose lengths are remembered.
+/// Maximum number of routes with response statistics.
 inline constexpr std::size_t kMaxTrackedRoutes = 1024;
 
-/// A request that is not answered after so many times the usual time counts as
-/// in flight no more: it was reset, its caller has gone, or its packets pass
-/// another daemon.  Of times spread as widely as their mean one in 20 is that
-/// long.
+/// A request without a response for this many times the typical response time
+/// is no longer counted as in flight: it was reset, its client has gone, or
+/// its packets pass another daemon.
 inline constexpr std::uint32_t kRequestTimeoutFactor = 3;
-/// Bounds of that; where no usual time is known, the longer one holds.
+/// Bounds of that timeout.  The maximum applies while the typical response
+/// time is unknown.
 inline constexpr Duration kMinRequestTimeout = 150ms;
 inline constexpr Duration kMaxRequestTimeout = 2000ms;
-/// A late answer still tells the usual time up to here.
+/// A response up to this late still updates the typical response time.
 inline constexpr Duration kRequestRetention = 10s;
-/// Weight of the latest answer in the usual time.
+/// Minimum weight of the latest response time in the average.
 inline constexpr double kMinResponseTimeWeight = 0.1;
-/// The same for an opening: reset, unless it is sent again.
+/// Time after which an opening without a response is no longer counted.
 inline constexpr Duration kOpeningTimeout = kResetDetectionTimeout;
 inline constexpr std::size_t kMaxCountedRequests = 8192;
-/// Parts of the second that slides; a tick of the daemon each.
+/// Buckets of the sliding window of one second; one per tick of the daemon.
 inline constexpr std::size_t kLoadWindowBuckets = 5;
 
-/// Time between two rounds of reports, while a zone is more than half used or
-/// callers are rejected, and otherwise: half a second of work is a twentieth
-/// of the shortest burst that lasts, and calm days cost few bytes.
+/// Interval between rounds of reports while a zone is busy or clients are
+/// rejected, and otherwise.
 inline constexpr Duration kBusyReportInterval = 500ms;
 inline constexpr Duration kNormalReportInterval = 2000ms;
-/// How long a daemon waits for its followers' reports once it was asked for
-/// its own, and the root, which waits for several levels: a tick, and two.
+/// How long a daemon waits for the reports of its followers after a report
+/// request.  The root waits for several levels.
 inline constexpr Duration kGatherTimeout = 100ms;
 inline constexpr Duration kRootGatherTimeout = 300ms;
-/// Figures older than this count as missing: shorter than a burst of several
-/// seconds, longer than a calm round, or three busy ones.
+/// Fleet statistics older than this are not used; longer than one normal or
+/// three busy rounds.
 inline constexpr Duration kMaxLoadAge = 2500ms;
-/// A report holds until the next one is due, and for this: a busy round is
-/// lost without harm, and a dead daemon's load ends soon.
+/// Added to the interval until the next report to get the lifetime of a
+/// report, so that one lost report in busy rounds does no harm.
 inline constexpr Duration kReportExpiryMargin = 600ms;
-/// A part of the sum that tells of so long ago, a calm round, is left out, so
-/// that one daemon that has died does not make the figures of all others too
-/// old to use.
+/// Maximum age of a report that is summed.  Prevents a failed daemon from
+/// making the whole sum too old to use.
 inline constexpr Duration kMaxSummedReportAge =
   kNormalReportInterval + kRootGatherTimeout;
 inline constexpr Duration kMaxReportLifetime =
   kNormalReportInterval + kReportExpiryMargin;
-/// Slots are counted this often, since a count goes over all back ends, of
-/// which a large fleet has thousands; figures of load are hardly younger.
+/// Interval at which slots are counted; a count visits all backends.
 inline constexpr Duration kSlotCountInterval = 1s;
-/// Levels of followers; three carry the largest fleet.
+/// Maximum number of levels below the root of the relay tree.
 inline constexpr std::uint32_t kMaxTreeDepth = 6;
-/// Figures count as missing where they hold fewer of the tree's daemons than
-/// one in so many, as while a tree grows.
+/// Fleet statistics are not used if they cover fewer than one in this many of
+/// the daemons of the tree.
 inline constexpr std::uint32_t kMaxDaemonsPerReported = 2;
-/// A zone counts as busy from this utilization on, until it is below the
-/// other one.
+/// A zone becomes busy above the first utilization, and is no longer busy
+/// below the second.
 inline constexpr double kBusyEnterUtilization = 0.5;
 inline constexpr double kBusyExitUtilization = 0.4;
-/// Rounds stay frequent for this long after the last sign of need.
+/// Reports stay frequent for this long after the last sign of load.
 inline constexpr Duration kBusyHoldTime = 3000ms;
-/// Services times zones in one message, 15 bytes each; the largest go first.
+/// Maximum number of service and zone pairs in one message; the largest loads
+/// are sent.
 inline constexpr std::size_t kMaxLoadsPerMessage = 64;
-/// The same while all is calm: enough to see where load grows first.
+/// The same while no zone is busy.
 inline constexpr std::size_t kMaxLoadsPerNormalMessage = 16;
-/// What one daemon may claim: more than any machine carries.
+/// Maximum value accepted from one daemon; more than any machine carries.
 inline constexpr std::uint32_t kMaxLoadPerDaemon = 8192;
 
 } // namespace cobaltgauge::core
--- a/src/core/load/load_meter.h
+++ b/src/core/load/load_meter.h
@@ -1,6 +1,5 @@
 /// @file
-/// The load that this daemon sees itself.  See
-/// docs/design/008-scarce-room.md.
+/// Load measured by this daemon.  See docs/design/008-scarce-room.md.
 #pragma once
 
 #include <array>
@@ -16,11 +15,11 @@
 
 namespace cobaltgauge::core {
 
-/// The back ends of a service in a zone.
+/// Identifies the backends of a service in a zone.
 using LoadKey = std::pair<ServiceId, ZoneId>;
 
 /** \class SlidingWindowCounter
- * \brief Count events of the last second, in parts of it.
+ * \brief Counts the events of the last second.
  */
 class SlidingWindowCounter
 {
@@ -30,32 +29,33 @@
 
 private:
   std::array<std::uint32_t, kLoadWindowBuckets> Buckets{};
-  std::int64_t LatestBucket =
-    0; ///< Number of the bucket that was counted last.
+  /// Number of the latest bucket since the epoch of the clock.
+  std::int64_t LatestBucket = 0;
 };
 
 /** \class LoadMeter
- * \brief Count this daemon's requests in flight, openings and rejections.
+ * \brief Counts this daemon's requests in flight, openings and rejections.
  *
- * A request is in flight from its opening or data to its answer.  One whose
- * caller vanished fades.
+ * A request is in flight from its opening or data until its response.  A
+ * request without a response expires.
  */
 class LoadMeter : public OpeningListener
 {
 public:
-  /// An opening was sent on, for the first time or again.
+  /// An opening was forwarded, for the first time or retransmitted.
   void OnOpening(FlowFingerprint flow, const LoadKey& key, Time now);
-  /// New data of a caller was sent on.
+  /// New data of a client was forwarded.
   void OnRequest(FlowFingerprint flow, const LoadKey& key, Time now);
-  /// What was sent last is answered.
+  /// The latest request or opening of a flow got a response.
   void OnResponse(FlowFingerprint flow, Time now);
-  /// The caller or the back end has gone.
+  /// The client or the backend of a flow is gone.
   void OnFlowEnded(FlowFingerprint flow);
   void OnOpeningEnded(const OpeningResult& result, Time now) override;
 
-  /// Let requests fade, and forget zones without load; at any time.
+  /// Expire requests and remove zones without load.  May be called at any
+  /// time.
   void OnTick(Time now);
-  /// Forget what is in flight; for a process that was suspended.
+  /// Discard all requests and counts after the process was suspended.
   void Clear();
 
   std::vector<ZoneLoad> GetLoads(Time now) const;
@@ -67,7 +67,7 @@
     Time SentAt{};
     Time ExpiresAt{};
     bool IsOpening = false;
-    bool IsCounted = true; ///< Has not faded.
+    bool IsCounted = true; ///< Has not expired.
   };
   struct Counts
   {
--- a/src/core/load/load_sum.cc
+++ b/src/core/load/load_sum.cc
@@ -7,7 +7,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// What the whole of the largest fleet may claim.
+/// Maximum value of the sum for the largest fleet.
 constexpr std::uint32_t kMaxFleetLoad = kLargestFleet * kMaxLoadPerDaemon;
 
 } // namespace
--- a/src/core/load/load_sum.h
+++ b/src/core/load/load_sum.h
@@ -1,5 +1,5 @@
 /// @file
-/// A bounded sum of loads that daemons tell each other.
+/// Bounded sum of reported loads.
 #pragma once
 
 #include <map>
@@ -10,17 +10,19 @@
 namespace cobaltgauge::core {
 
 /** \class LoadSum
- * \brief Add up loads by service and zone, whatever a daemon claims.
+ * \brief Sums loads by service and zone.  Bounds the load accepted from each
+ * daemon.
  */
 class LoadSum
 {
 public:
-  /// \param daemons whose load it is; bounds what is believed of it.
+  /// \param daemons number of daemons that the loads cover; limits the sum.
   void Add(const std::vector<ZoneLoad>& loads, std::uint32_t daemons);
 
-  /// Get the load of the back ends of a service in a zone; none: zero.
+  /// Get the load of the backends of a service in a zone; zero if unknown.
   ZoneLoad Get(const LoadKey& key) const;
-  /// Get the largest loads.
+  /// Get the largest loads by requests in flight and openings, in descending
+  /// order.
   std::vector<ZoneLoad> GetLargest(std::size_t max) const;
   std::uint32_t CountDaemons() const { return this->Daemons; }
 
--- a/src/core/load/opening_tracker.cc
+++ b/src/core/load/opening_tracker.cc
@@ -118,7 +118,7 @@
                  ended.ResponseAt);
     lengths.Add(ended.ResponseLength);
   } else {
-    // A caller that entry nothing was served; one that left was not.
+    // A client that closes without a request counts as served.
     this->Report(ended,
                  ended.RequestAt != Time{} ? OpeningOutcome::kUnanswered
                                            : OpeningOutcome::kServed,
@@ -205,7 +205,7 @@
         { now + kAnswerLate, entry.OpenedAt, found->first });
       continue;
     }
-    // It is watched on, since a late answer tells what is typical.
+    // Keep tracking: a late response still updates the typical response time.
     const bool wasSentAgain =
       entry.LastPacketAt - entry.RequestAt >= kInitialRetransmissionTimeout;
     this->Report(entry,
--- a/src/core/load/opening_tracker.h
+++ b/src/core/load/opening_tracker.h
@@ -1,6 +1,6 @@
 /// @file
-/// Tells what became of openings that this daemon placed, from their callers'
-/// packets alone: answers go straight to the caller.  See
+/// Determines the outcome of openings that this daemon placed.  Only packets
+/// from clients are visible, as backends respond to clients directly.  See
 /// docs/design/008-scarce-room.md.
 #pragma once
 
@@ -19,30 +19,30 @@
 
 namespace cobaltgauge::core {
 
-/// An opening that was sent on.
+/// An opening that was forwarded to a backend.
 struct PlacedOpening
 {
   Endpoint Route;
   BackendId Backend = kNoBackend;
   ServiceId Service{ 0 };
   ZoneId Zone = kNoZone;
-  std::uint32_t Rank = 0; ///< Zero goes first.
+  std::uint32_t Rank = 0; ///< Zero is the highest priority.
 };
 
 /// Counters of OpeningTracker; see docs/METRICS.md.
 struct OutcomeCounters
 {
   std::array<std::uint64_t, kOpeningOutcomes> Ended{};
-  std::uint64_t Discarded = 0; ///< Their end could not be seen.
+  std::uint64_t Discarded = 0; ///< Openings whose outcome is unknown.
 };
 
 /** \class OpeningTracker
- * \brief Entry each opening up to the end of its first answer.
+ * \brief Tracks each opening until the end of its first response.
  *
- * Each end is told once, at the latest on the tick after it shows.  Openings
- * are forgotten where it cannot be seen: after a suspension, where a caller's
- * packets go to another daemon, where its back end has ended, or where too
- * many are watched.
+ * Each outcome is reported once, at the latest on the tick after it can be
+ * determined.  Openings are discarded without a report after a suspension,
+ * when the client's packets pass another daemon, when the backend is gone, and
+ * when too many openings are tracked.
  */
 class OpeningTracker
 {
@@ -55,25 +55,25 @@
 
   void OnOpening(FlowFingerprint flow, const PlacedOpening& opening, Time now);
 
-  /// The caller sent its opening again and has shown no answer.
+  /// The client retransmitted its opening.
   void OnRetransmission(FlowFingerprint flow, Time now);
 
-  /// A later packet of a flow passed.
+  /// The client sent a packet after its opening.
   void OnPacket(FlowFingerprint flow, const PacketSummary& packet, Time now);
 
-  /// Discard a flow that was given up here, since its back end is gone.
+  /// Discard a flow that was reset because its backend is gone.
   void Discard(FlowFingerprint flow);
 
   void OnTick(Time now);
 
-  /// Discard what is pending; for a process that was suspended.
+  /// Discard all tracked openings after the process was suspended.
   void Clear();
 
   std::size_t CountTracked() const { return this->Tracked.size(); }
   const OutcomeCounters& GetCounters() const { return this->Counters; }
 
 private:
-  /// What is typical on a route.
+  /// Typical responses on a route.
   struct RouteResponses
   {
     ResponseLengths Lengths;
@@ -84,32 +84,33 @@
   {
     PlacedOpening Opening;
     Time OpenedAt{};
-    Time RequestAt{};    ///< When the request began; zero: not yet.
-    Time ResponseAt{};   ///< Zero: no answer to the request yet.
-    Time LastPacketAt{}; ///< When the last packet passed.
-    std::uint32_t AckBeforeResponse = 0; ///< Acknowledged before the answer.
-    std::uint32_t ResponseLength = 0;    ///< Of the answer so far.
-    std::uint32_t RequestEnd = 0; ///< Sequence number after the request.
-    bool IsAccepted = false;      ///< The back end took the opening.
+    Time RequestAt{};  ///< Start of the request; zero if none yet.
+    Time ResponseAt{}; ///< Start of the response; zero if none yet.
+    Time LastPacketAt{};
+    /// Acknowledgment number before the response.
+    std::uint32_t AckBeforeResponse = 0;
+    std::uint32_t ResponseLength = 0; ///< In bytes, as acknowledged so far.
+    std::uint32_t RequestEnd = 0;     ///< Sequence number after the request.
+    bool IsAccepted = false;          ///< The backend accepted the opening.
     bool IsReported = false;
   };
   using EntryMap = std::unordered_map<FlowFingerprint, Entry>;
 
-  /// When to deadline at a entry again; of each kind the earliest first.
+  /// When to check an entry again; sorted by time in each queue.
   struct Deadline
   {
     Time Due{};
-    Time OpenedAt{}; ///< Tells a flow from a later one of the same name.
+    Time OpenedAt{}; ///< Distinguishes flows with the same fingerprint.
     FlowFingerprint Flow{ 0 };
   };
 
   static bool IsNextRequest(const Entry& entry, const PacketSummary& packet);
   void OnResponse(FlowFingerprint flow, Entry& entry, Time now);
-  /// The whole answer is known, or the caller has gone.
+  /// The response is complete, or the client closed the flow.
   void Finish(EntryMap::iterator entry, Time now);
   void Report(Entry& entry, OpeningOutcome outcome, Time now);
   RouteResponses& GetRouteResponses(const Endpoint& route);
-  /// Take the next deadline that is due.
+  /// Remove and return the next entry that is due.
   std::optional<EntryMap::iterator> PopDue(std::deque<Deadline>& deadlines,
                                            Time now);
   void ReportResets(Time now);
--- a/src/core/load/response_lengths.h
+++ b/src/core/load/response_lengths.h
@@ -1,6 +1,5 @@
 /// @file
-/// How long the answers of a route are, so that one which only says "not run"
-/// is told from the usual ones.
+/// Response lengths of a route, used to detect rejections.
 #pragma once
 
 #include <array>
@@ -11,17 +10,17 @@
 namespace cobaltgauge::core {
 
 /** \class ResponseLengths
- * \brief Remember the latest lengths of one route's answers.
+ * \brief Keeps samples of the response lengths of one route.
  *
- * The usual length is the upper quartile of them: while up to three quarters
- * are rejections it is still that of an answer.  Short ones are remembered
- * rarely, so that many more than that do not change it at once.
+ * The typical length is the upper quartile, which holds while up to three
+ * quarters of the samples are rejections.  Only a part of the short responses
+ * is sampled, so that a burst of rejections does not change it.
  */
 class ResponseLengths
 {
 public:
-  /// Tell whether an answer with this many bytes, or fewer, is a rejection.
-  /// Never, where too little is known or lengths are not stable.
+  /// Return whether a response of this length in bytes is a rejection.  False
+  /// if there are too few samples or lengths are not clearly separated.
   bool IsShort(std::uint32_t bytes) const
   {
     return bytes <= this->MaxShortBytes;
@@ -36,7 +35,7 @@
   std::size_t Samples = 0;
   std::size_t Next = 0;
   std::uint32_t ShortResponses = 0;
-  std::uint32_t MaxShortBytes = 0; ///< Zero: nothing is.
+  std::uint32_t MaxShortBytes = 0; ///< Zero: rejections are not detected.
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/load/response_time_average.h
+++ b/src/core/load/response_time_average.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long answers usually take.
+/// Average response time.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
 namespace cobaltgauge::core {
 
 /** \class ResponseTimeAverage
- * \brief A running mean of the times that answers take.
+ * \brief Exponentially weighted moving average of response times.
  */
 class ResponseTimeAverage
 {
@@ -18,14 +18,14 @@
   void Add(Duration duration)
   {
     const double seconds = std::chrono::duration<double>(duration).count();
-    // The first few count alike.
+    // The first samples have equal weight.
     ++this->Samples;
     const double weight = std::max(1.0 / static_cast<double>(this->Samples),
                                    kMinResponseTimeWeight);
     this->Mean += weight * (seconds - this->Mean);
   }
 
-  /// Tell whether enough is known to call an answer late.
+  /// Return whether there are enough samples to classify a response as late.
   bool HasEnoughSamples() const
   {
     return this->Samples >= kMinResponseSamples;
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -9,9 +9,9 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Work on a back end that has just started takes about this much longer.
+/// Factor by which backends that are warming up are slower.
 constexpr double kWarmUpFactor = 1.6;
-/// Parts in which a share of openings is sampled.
+/// Resolution of random decisions by a share of openings.
 constexpr std::uint64_t kShareResolution = 1U << 20U;
 
 } // namespace
@@ -41,8 +41,7 @@
       services.push_back(serviceIdOf(target.service));
     }
   }
-  // Another part of the split is allowed to run the flow, and better than
-  // refusing it.
+  // Prefer another target of the split to refusing the flow.
   for (const ServiceId service : services) {
     const ScoredBackend best =
       this->ChooseOfService(service, route, avoided, now);
@@ -72,15 +71,15 @@
   Time now)
 {
   const Candidates& registered = this->Inputs.Backends.candidates(service);
-  // Of all regions: routes that allow different ones share the figures.
+  // Use all regions, as routes with different regions share the statistics.
   this->Inputs.Spill.Update(registered, now);
   Candidates all =
     this->Inputs.Backends.lapsedSince(service, now - kVanishedFallback);
   if (all.empty()) {
     return this->ChooseAllowed(registered, route, avoided, now);
   }
-  // Registrations are still coming back: those that are there are too few for
-  // all openings.
+  // Registrations are being renewed; the current ones alone may be too few
+  // for all openings.
   all.insert(all.end(), registered.begin(), registered.end());
   return this->ChooseAllowed(all, route, avoided, now);
 }
@@ -125,11 +124,12 @@
   Time now)
 {
   ScoredBackend chosen = first;
-  std::vector<ZoneId> full;
+  std::vector<ZoneId> overloadedZones;
   while (!this->StaysInZone(chosen)) {
-    full.push_back(chosen.Zone);
-    chosen = this->ChooseOutsideZones(candidates, &full, avoided, now);
-    // A back end that comes last is no room, nor is one that is busy.
+    overloadedZones.push_back(chosen.Zone);
+    chosen =
+      this->ChooseOutsideZones(candidates, &overloadedZones, avoided, now);
+    // Do not spill over to a backend that is deprioritized or busy.
     const bool isWorse = chosen.Id == kNoBackend ||
       std::tie(chosen.Deprioritized, chosen.Busy) >
         std::tie(first.Deprioritized, first.Busy);
@@ -137,7 +137,7 @@
       return first;
     }
   }
-  if (!full.empty()) {
+  if (!overloadedZones.empty()) {
     this->Inputs.Spill.OnSpilled();
     this->Result.Spilled = true;
   }
@@ -194,8 +194,8 @@
   ScoredBackend best;
   std::uint64_t ties = 0;
   for (std::size_t i = 0; i < sampleSize; ++i) {
-    // Neighbours in the list would not do: one among back ends of other zones
-    // would be compared with few of its own and get several times its share.
+    // Sample independently: adjacent entries may be of other zones, and a
+    // backend among these would get more than its share of openings.
     const std::size_t index =
       sampleSize < candidates.size() ? random.below(candidates.size()) : i;
     if (excludedZones != nullptr &&
--- a/src/core/placement/backend_chooser.h
+++ b/src/core/placement/backend_chooser.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the back end that a new flow gets.
+/// Selects the backend for a new flow.
 #pragma once
 
 #include <cstdint>
@@ -17,22 +17,22 @@
 
 namespace cobaltgauge::core {
 
-/// A back end for a new flow, with what decided.
+/// The backend selected for a new flow, with the inputs of the decision.
 struct PlacementChoice
 {
-  BackendId Id = kNoBackend; ///< kNoBackend: none takes flows.
+  BackendId Id = kNoBackend; ///< kNoBackend: no backend is available.
   std::uint32_t Capacity = 1;
-  bool Busy = true; ///< Was given an opening only just now.
-  bool WarmUpLimited =
-    false;              ///< Counts for the bound of what a cold back end gets.
-  bool Spilled = false; ///< Left the preferred zone for want of room.
-  std::size_t Candidates = 0;     ///< That could have been chosen.
-  std::size_t SlowCandidates = 0; ///< Of those compared, with slow answers.
-  std::size_t WarmUpExhaustedCandidates =
-    0; ///< Of those compared, given all they bear.
+  bool Busy = true;           ///< Received another opening very recently.
+  bool WarmUpLimited = false; ///< Is subject to a warm-up rate limit.
+  bool Spilled = false;       ///< Left the preferred zone due to overload.
+  std::size_t Candidates = 0;
+  /// Compared candidates with slow responses.
+  std::size_t SlowCandidates = 0;
+  /// Compared candidates that have reached their warm-up rate limit.
+  std::size_t WarmUpExhaustedCandidates = 0;
 };
 
-/// What a BackendChooser sampleSize at; all of it outlives the chooser.
+/// Inputs of a BackendChooser; all must outlive the chooser.
 struct PlacementInputs
 {
   BackendRegistry& Backends;
@@ -46,10 +46,10 @@
 };
 
 /** \class BackendChooser
- * \brief Find the best back end for a new flow.
+ * \brief Selects the best backend for a new flow.
  *
- * It decides and notes nothing: whoever follows the choice tells the parts
- * that it was made of.
+ * The choice is not recorded in the inputs; the caller does so if it uses the
+ * choice.
  */
 class BackendChooser
 {
@@ -59,15 +59,14 @@
   {
   }
 
-  /// Add a reason to put back ends last.
   /// \param demotion outlives the chooser.
   void AddDemotion(Demotion& demotion)
   {
     this->Demotions.push_back(&demotion);
   }
 
-  /// Choose for a flow of a route, in turn of the route's split.
-  /// \param avoided the back end that left this opening unanswered.
+  /// Choose a backend for a flow of a route.  Advances the traffic split.
+  /// \param avoided the backend that left this opening without a response.
   PlacementChoice Choose(RouteEntry& route, BackendId avoided, Time now);
 
 private:
@@ -79,23 +78,22 @@
     ServiceId Service{ 0 };
     ZoneId Zone = kNoZone;
     std::uint32_t Capacity = 1;
-    bool Excluded = true; ///< The policy gives it no new flow.
+    bool Excluded = true; ///< Has weight zero.
     bool Deprioritized = true;
     bool Busy = true;
     bool Slow = false;
     bool WarmUpLimited = false;
-    bool WarmUpExhausted =
-      false; ///< WarmUpLimited, and may be given nothing now.
+    bool WarmUpExhausted = false; ///< Has reached its warm-up rate limit.
     double Load = 0;
   };
 
   ScoredBackend ChooseForRoute(RouteEntry& route, BackendId avoided, Time now);
-  /// Choose of registered back ends and of those whose registrations lapsed.
+  /// Choose among registered backends and those with expired registrations.
   ScoredBackend ChooseOfService(ServiceId service,
                                 const RouteEntry& route,
                                 BackendId avoided,
                                 Time now);
-  /// Choose of those in regions that the route allows.
+  /// Choose among candidates in the regions that the route allows.
   ScoredBackend ChooseAllowed(const Candidates& candidates,
                               const RouteEntry& route,
                               BackendId avoided,
@@ -103,20 +101,20 @@
   ScoredBackend ChooseAmong(const Candidates& candidates,
                             BackendId avoided,
                             Time now);
-  /// Leave the zone of a choice where it has too little room.
+  /// Replace a choice by one from another zone if its zone is overloaded.
   ScoredBackend Spill(const ScoredBackend& first,
                       const Candidates& candidates,
                       BackendId avoided,
                       Time now);
   bool StaysInZone(const ScoredBackend& scored);
-  /// \param excludedZones zones whose back ends, and all cold ones, are passed
-  /// over; null: none are.
+  /// \param excludedZones null for a choice among all candidates; otherwise
+  /// candidates in these zones, and those warming up, are skipped.
   ScoredBackend ChooseOutsideZones(const Candidates& candidates,
                                    const std::vector<ZoneId>* excludedZones,
                                    BackendId avoided,
                                    Time now);
-  /// \param sampleSize how many are compared; where not all, sampled at
-  /// random.
+  /// \param sampleSize number of candidates that are compared; selected at
+  /// random if fewer than all.
   ScoredBackend ChooseBest(const Candidates& candidates,
                            std::size_t sampleSize,
                            const std::vector<ZoneId>* excludedZones,
@@ -133,7 +131,7 @@
 
   PlacementInputs Inputs;
   std::vector<Demotion*> Demotions;
-  PlacementChoice Result; ///< Counts of the choice that is being made.
+  PlacementChoice Result; ///< The choice in progress.
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/candidate_list.h
+++ b/src/core/placement/candidate_list.h
@@ -1,5 +1,5 @@
 /// @file
-/// The back ends of one service that may be given new flows.
+/// The backends of one service that may be selected for new flows.
 #pragma once
 
 #include <cstddef>
@@ -11,16 +11,14 @@
 namespace cobaltgauge::core {
 
 /** \class CandidateList
- * \brief Candidates in no order, each found by its id.
+ * \brief Unordered list of candidates with lookup by id.
  *
- * A change of one back end costs the same whatever the number of the others.
- * Collecting 8,000 of them anew took 2 ms, at every opening while back ends
- * come and go.
+ * Adding, updating and removing a candidate takes constant time.
  */
 class CandidateList
 {
 public:
-  /// Add a candidate, or take what it says now.
+  /// Add a candidate or replace the one with the same id.
   void Put(const PlacementCandidate& candidate)
   {
     const auto [index, isNew] =
@@ -47,7 +45,7 @@
     this->Items.pop_back();
   }
 
-  /// \return null where it is none.
+  /// \return null if the backend is not a candidate.
   const PlacementCandidate* Find(BackendId id) const
   {
     const auto found = this->IndexById.find(id);
--- a/src/core/placement/demotion.h
+++ b/src/core/placement/demotion.h
@@ -1,6 +1,5 @@
 /// @file
-/// Seam to all that knows of back ends which new flows should go to only
-/// where no other is left.
+/// Interface for conditions that deprioritize backends for new flows.
 #pragma once
 
 #include <vector>
@@ -11,23 +10,22 @@
 namespace cobaltgauge::core {
 
 /** \class Demotion
- * \brief One reason for a back end to come last for new flows.
+ * \brief A condition that deprioritizes backends for new flows.
  *
- * A back end that comes last still gets flows where all others come last as
- * well, or are full: signs may be wrong, and a refusal serves nobody.
+ * A deprioritized backend still gets flows if no other backend is available,
+ * since the condition may be a false positive.
  */
 class Demotion
 {
 public:
   virtual ~Demotion() = default;
 
-  /// Take the back ends that the next answers are about.
+  /// Set the candidates of the following calls of IsDeprioritized.
   virtual void Prepare(const std::vector<PlacementCandidate>& /*candidates*/,
                        Time /*now*/)
   {
   }
 
-  /// Tell whether a back end comes last.
   virtual bool IsDeprioritized(const PlacementCandidate& candidate,
                                Time now) const = 0;
 };
--- a/src/core/placement/local_capacity_estimator.cc
+++ b/src/core/placement/local_capacity_estimator.cc
@@ -10,10 +10,10 @@
 namespace cobaltgauge::core {
 namespace {
 
-double GetWeight(Duration age, Duration memory)
+double GetWeight(Duration age, Duration decayTime)
 {
   return std::exp(-std::chrono::duration<double>(age) /
-                  std::chrono::duration<double>(memory));
+                  std::chrono::duration<double>(decayTime));
 }
 
 } // namespace
@@ -43,8 +43,9 @@
                                                          Duration elapsed)
 {
   this->BaselineSamples += 1;
-  // Each answer counts for the time elapsed the one before, and the first ones
-  // alike.  While answers are long, their length becomes usual but slowly.
+  // The weight grows with the time since the previous sample; the first
+  // samples have equal weight.  While responses are slow, the baseline adapts
+  // more slowly.
   const double weight = this->GetSlowdown() < kSlowResponseRatio
     ? std::max(1 - GetWeight(elapsed, kBaselineDecayTime),
                1 / std::min(this->BaselineSamples, kBaselineMaxSamples))
@@ -94,12 +95,13 @@
   capacity.Age = kSampleDecayTime;
   const double slowdown = samples.GetSlowdown();
   if (slowdown >= kSlowResponseRatio) {
-    // The time in the queue M/M/2 is the work's over 1 - r^2.
+    // The mean response time of an M/M/2 queue is the service time divided by
+    // 1 - r^2.
     const double utilization =
       std::min(std::sqrt(1 - 1 / slowdown), kMaxSlotUtilization);
     capacity.Utilization = GetRequestsPerSlot(utilization);
   } else if (capacity.RejectedShare >= kRejectedShareWhenFull) {
-    // Too few were served to tell by their times; who rejects is not empty.
+    // Response times do not show the load when few openings are served.
     capacity.Utilization = GetRequestsPerSlot(kMaxSlotUtilization);
   }
   return capacity;
--- a/src/core/placement/local_capacity_estimator.h
+++ b/src/core/placement/local_capacity_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Room of zones as this daemon's own openings show it.
+/// Capacity of zones, estimated from the openings of this daemon.
 #pragma once
 
 #include <map>
@@ -11,11 +11,11 @@
 namespace cobaltgauge::core {
 
 /** \class LocalCapacityEstimator
- * \brief Estimate the capacity of zones from the ends of openings.
+ * \brief Estimates the used capacity of zones from the outcomes of openings.
  *
- * It stands in where the fleet's figures are missing.  A zone whose answers
- * take no slowdown than usual and that rejects nothing counts as empty: a
- * daemon sees too few to tell more.
+ * Used while fleet statistics are missing.  A zone with typical response times
+ * and without rejections counts as idle, as one daemon has too few samples for
+ * a finer estimate.
  */
 class LocalCapacityEstimator
   : public OpeningListener
@@ -32,16 +32,22 @@
   struct ZoneSamples
   {
     Time UpdatedAt{};
-    double Ended = 0; ///< Weighed by age, as all below.
+    // Sums with exponential decay.
+    double Ended = 0;
     double Rejected = 0;
     double Served = 0;
-    double ResponseSeconds = 0; ///< Of those served.
-    double BaselineSeconds = 0; ///< Usual.
-    double BaselineSamples = 0; ///< That it was learned from.
+    double ResponseSeconds = 0;
 
-    /// Let what was samples lose weight up to a time.
+    double BaselineSeconds = 0; ///< Typical response time.
+    double BaselineSamples = 0; ///< Number of samples of the baseline.
+
+    /// Decay the sums up to a time.
     void Decay(Time now);
+    /// Get the ratio of the mean response time to the baseline; one if there
+    /// are too few samples.
     double GetSlowdown() const;
+    /// \param seconds the response time.
+    /// \param elapsed time since the previous sample.
     void UpdateBaseline(double seconds, Duration elapsed);
   };
 
--- a/src/core/placement/local_demotions.h
+++ b/src/core/placement/local_demotions.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reasons to put a back end last that a daemon always looks at.
+/// Demotions based on the observations of this daemon.
 #pragma once
 
 #include <vector>
@@ -11,12 +11,12 @@
 namespace cobaltgauge::core {
 
 /** \class SuspectDemotion
- * \brief Put back ends last that left this daemon's callers unanswered.
+ * \brief Deprioritizes backends that did not respond to this daemon's clients.
  */
 class SuspectDemotion : public Demotion
 {
 public:
-  /// \param health outlives this.
+  /// \param health outlives this object.
   explicit SuspectDemotion(const BackendHealth& health)
     : Health(health)
   {
@@ -33,14 +33,15 @@
 };
 
 /** \class OutlierDemotion
- * \brief Put outliers last, where they are few among the candidates.
+ * \brief Deprioritizes outliers if they are few among the candidates.
  *
- * Where many are outliers, the cause lies elsewhere, and none counts.
+ * If many candidates are outliers, the cause is not in the backends, and none
+ * is deprioritized.
  */
 class OutlierDemotion : public Demotion
 {
 public:
-  /// \param detector outlives this; null for none.
+  /// \param detector outlives this object; may be null.
   void SetDetector(const OutlierDetector* detector)
   {
     this->Detector = detector;
--- a/src/core/placement/placement_candidate.h
+++ b/src/core/placement/placement_candidate.h
@@ -1,5 +1,5 @@
 /// @file
-/// A back end that may be given new flows.
+/// A backend that may be selected for new flows.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
   ServiceId service{ 0 };
   std::uint32_t capacity = 1;
   std::uint32_t weight = kDefaultPlacementWeight;
-  Time warmUntil{}; ///< Slow until this time.
+  Time warmUntil{}; ///< End of the warm-up.
   RegionId region = kNoRegion;
   ZoneId zone = kNoZone;
 };
--- a/src/core/placement/placement_limits.h
+++ b/src/core/placement/placement_limits.h
@@ -1,6 +1,6 @@
 /// @file
-/// Sizes and time limits of placement by room, with the reason for each.  See
-/// docs/design/008-scarce-room.md.
+/// Limits and time constants of zone spillover and local capacity estimation.
+/// See docs/design/008-scarce-room.md.
 #pragma once
 
 #include "core/types.h"
@@ -9,64 +9,57 @@
 
 using namespace std::chrono_literals;
 
-/// How much longer a caller may wait in a preferred zone than elsewhere, in
-/// units of its work: the three round trips that another zone adds to a
-/// request take a few milliseconds, and work takes tens.
+/// Extra queueing delay accepted in the preferred zone before openings spill
+/// over, in units of the mean service time.  Covers the cross-zone latency.
 inline constexpr double kMaxExtraLocalWait = 0.25;
-/// Slots are taken to be in use to this share at most: a finite queue has a
-/// finite wait, and so figures of full zones can still be compared.
+/// Upper bound of slot utilization in the queueing model; keeps the modeled
+/// wait finite.
 inline constexpr double kMaxSlotUtilization = 0.95;
-/// Share of its openings that a zone without room keeps, so that its room is
-/// seen again: one in twenty fills a zone in which nothing else runs to a
-/// twentieth.
+/// Minimum share of its openings that an overloaded zone keeps, so that
+/// capacity that becomes free is detected.
 inline constexpr double kMinLocalShare = 0.05;
-/// How fast the share of openings that a zone keeps may change, for each
-/// second: from all to a half in 300 ms, which is as old as good figures are.
+/// Maximum change of a local share per second.
 inline constexpr double kMaxShareChangePerSecond = 1.7;
-/// Share that a zone with plenty of room is steered to; it ends at one, and
-/// gets there in a bounded time.
+/// Target share of a zone with ample capacity.  It is greater than one so that
+/// the share reaches one in finite time.
 inline constexpr double kMaxTargetShare = 2;
-/// Figures are at least this old, whatever they say: a request in flight that
-/// is counted was opened a while ago, and a report waits for its turn.
+/// Lower bound of the age of statistics.  Covers the delay of measurement and
+/// reporting.
 inline constexpr Duration kMinStatisticsAge = 300ms;
-/// How far back kept shares are remembered, so that figures are held against
-/// what was in force when they were taken; older figures count as this old.
+/// How long past shares are kept.  Older statistics are treated as this old.
 inline constexpr Duration kShareHistoryRetention = 2000ms;
-/// Kept shares are worked out this often at most.
+/// Minimum interval between two updates of the shares.
 inline constexpr Duration kShareUpdateInterval = 50ms;
-/// Zones and their slots are counted this often while as many back ends take
-/// flows as before, since a count goes over all of them.
+/// Interval at which zones and their slots are counted while the number of
+/// candidates is unchanged.
 inline constexpr Duration kZoneCountInterval = 1s;
-/// A service that got no opening for this long starts afresh.
+/// The shares of a service without openings for this long are reset.
 inline constexpr Duration kSpilloverStateTimeout = 10s;
-/// Openings go elsewhere "for want of room" from this kept share on, for logs;
-/// and no more from the other one on.
+/// Spillover is logged as started below the first share, and as ended at or
+/// above the second.
 inline constexpr double kSpilloverStartShare = 0.9;
 inline constexpr double kSpilloverEndShare = 0.99;
-/// Changes that wait to be logged.
+/// Maximum number of changes that wait to be logged.
 inline constexpr std::size_t kMaxPendingSpilloverChanges = 64;
 
-// What a daemon sees itself, where the fleet's figures are missing.
+// Local capacity estimation, used where fleet statistics are missing.
 
-/// Time after which a result counts by a third (e^-1): three daemons' openings
-/// of a second are enough to tell, and a burst shows within it.
+/// Time constant of the exponential decay of samples.
 inline constexpr Duration kSampleDecayTime = 400ms;
-/// Results that have to be remembered of a zone, weighed by their age.
+/// Minimum decayed weight of samples for an estimate.
 inline constexpr double kMinSampleWeight = 6;
-/// Time over which the usual length of answers is learned.
+/// Time constant of the baseline of response times.
 inline constexpr Duration kBaselineDecayTime = 10s;
-/// The same while answers take longer than usual: longer than a burst.
+/// The same while responses are slow; longer than a burst of load.
 inline constexpr Duration kBaselineDecayTimeUnderLoad = 60s;
-/// No answer counts for less than one in so many: their mean strays by a
-/// twentieth.
+/// A sample changes the baseline by at least one part in this many.
 inline constexpr double kBaselineMaxSamples = 100;
-/// Answers count as longer than usual from here on: the mean of
-/// kMinSampleWeight answers with a spread of a half strays by a fifth.
+/// Ratio to the baseline from which responses count as slow.
 inline constexpr double kSlowResponseRatio = 1.5;
-/// Share of rejected openings from which a zone counts as full, whatever its
-/// answers take: two of the fewest results that tell are more than chance.
+/// Share of rejected openings from which a zone counts as overloaded,
+/// whatever its response times.
 inline constexpr double kRejectedShareWhenFull = 0.25;
-/// Use that a zone is taken to have which this daemon has not tried lately.
+/// Assumed utilization of a zone without recent samples.
 inline constexpr double kUnsampledUtilization = 0.5;
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/queueing_model.h
+++ b/src/core/placement/queueing_model.h
@@ -1,8 +1,8 @@
 /// @file
-/// How long requests wait where a share of the slots is in utilization: the
-/// queue M/M/2 (Erlang 1917; Kleinrock, Queueing Systems I, section 3.5), for
-/// back ends with two slots that each get a random part of the openings.  More
-/// slots wait less, which errs towards other zones.
+/// M/M/2 queueing model of backends with two slots that each get a random part
+/// of the openings (Erlang 1917; Kleinrock, Queueing Systems I, section 3.5).
+/// Backends with more slots have shorter waits, so the model
+/// overestimates the wait.
 #pragma once
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 
 namespace cobaltgauge::core {
 
-/// Get the share of slots in utilization from requests in flight for each
-/// slot, those that wait included: u = r / (1 - r^2), solved for r.
+/// Get the slot utilization r, 0 to kMaxSlotUtilization, from the requests in
+/// flight per slot u, including queued ones: u = r / (1 - r^2), solved for r.
 inline double GetSlotUtilization(double inFlight)
 {
   if (inFlight <= 0) {
@@ -25,13 +25,13 @@
   return std::min(utilization, kMaxSlotUtilization);
 }
 
-/// Get requests in flight for each slot by the share of slots in utilization.
+/// Get the requests in flight per slot; the inverse of GetSlotUtilization.
 inline double GetRequestsPerSlot(double utilization)
 {
   return utilization / (1 - utilization * utilization);
 }
 
-/// Get the wait in units of the work: r^2 / (1 - r^2).
+/// Get the mean wait in units of the mean service time: r^2 / (1 - r^2).
 inline double GetRelativeWait(double utilization)
 {
   const double square = std::min(utilization, kMaxSlotUtilization) *
@@ -39,14 +39,15 @@
   return square / (1 - square);
 }
 
-/// Get the share of slots in utilization at which requests wait for so long.
+/// Get the slot utilization that causes a mean wait; the inverse of
+/// GetRelativeWait.
 inline double GetUtilizationForWait(double wait)
 {
   return std::sqrt(wait / (1 + wait));
 }
 
-/// Get the utilization that openings ask for, those included that were
-/// rejected.
+/// Get the slot utilization that the openings of a zone would cause if none
+/// were rejected; may be greater than one.
 inline double GetDemand(const ZoneCapacity& capacity)
 {
   const double served =
@@ -54,8 +55,8 @@
   return GetSlotUtilization(capacity.Utilization) / served;
 }
 
-/// Get the utilization up to which a zone is preferred to one with this
-/// utilization.
+/// Get the utilization up to which the local zone is preferred to a zone with
+/// another utilization.
 inline double GetMaxLocalUtilization(double otherUtilization)
 {
   const double wait = GetRelativeWait(otherUtilization) + kMaxExtraLocalWait;
--- a/src/core/placement/zone_spillover.cc
+++ b/src/core/placement/zone_spillover.cc
@@ -9,7 +9,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Zones between which there is a choice.
+/// Spillover needs statistics of at least two zones.
 constexpr std::size_t kMinZonesWithStatistics = 2;
 
 } // namespace
@@ -82,12 +82,12 @@
   for (const CapacityView* source : this->Sources) {
     std::size_t known = 0;
     for (auto& [zoneId, zone] : service.Zones) {
-      const std::optional<ZoneCapacity> room =
+      const std::optional<ZoneCapacity> capacity =
         source->GetZoneCapacity(id, zoneId, now);
-      zone.HasStatistics = room.has_value();
-      if (room) {
-        zone.Demand = GetDemand(*room);
-        zone.Age = std::max(room->Age, kMinStatisticsAge);
+      zone.HasStatistics = capacity.has_value();
+      if (capacity) {
+        zone.Demand = GetDemand(*capacity);
+        zone.Age = std::max(capacity->Age, kMinStatisticsAge);
         ++known;
       }
     }
@@ -138,7 +138,7 @@
 
 double ZoneSpillover::Zone::GetShareAt(Time when) const
 {
-  // The last one that was in force before, or the earliest that is known.
+  // The share in effect at that time, or the earliest known one.
   const auto after =
     std::find_if(this->History.begin(),
                  this->History.end(),
--- a/src/core/placement/zone_spillover.h
+++ b/src/core/placement/zone_spillover.h
@@ -1,6 +1,6 @@
 /// @file
-/// Which fraction of a zone's openings stays there while it has too little
-/// room. See docs/design/008-scarce-room.md.
+/// Share of a zone's openings that stays local while the zone is overloaded.
+/// See docs/design/008-scarce-room.md.
 #pragma once
 
 #include <cstdint>
@@ -17,61 +17,66 @@
 
 namespace cobaltgauge::core {
 
-/// Openings of a service begin or cease to leave a zone; for logs.
+/// Spillover of a service from a zone started or ended; for logs.
 struct SpilloverChange
 {
   ServiceId Service{ 0 };
   ZoneId Zone = kNoZone;
   bool Began = false;
-  double LocalShare = 1;   ///< Share of openings that stays.
-  double Demand = 0;       ///< SlotShare that openings ask for, for each slot.
-  double LowestDemand = 0; ///< The same of the zone with maxStep room.
-  Duration Age{};          ///< Of these figures.
+  double LocalShare = 1;   ///< Share of openings that stays in the zone.
+  double Demand = 0;       ///< Offered load per slot.
+  double LowestDemand = 0; ///< Offered load per slot of the least loaded zone.
+  Duration Age{};          ///< Age of the statistics.
 };
 
 /** \class ZoneSpillover
- * \brief Let the policy's preference fade with the room of the zone.
+ * \brief Controls the share of openings that stay in the zone preferred by the
+ * policy.
  *
- * Of the openings that the policy gives to a zone, a share stays: all of them
- * while nobody waits much longer there than elsewhere, and as many as it then
- * bears beyond that.  The share follows from the figures and from what was
- * kept when they were taken, so that figures of any age lead to the same
- * point; it goes there timeConstant half their age, so that it does not swing
- * at their pace, and by bounded steps.  Without figures it goes back to one.
+ * All openings stay while the wait in the zone is not much longer than
+ * elsewhere; above that, as many stay as keep it so.  The target is computed
+ * from the statistics and from the share in effect when they were measured, so
+ * that it does not depend on their age.  The share approaches the target with
+ * a time constant of half that age and a bounded rate, which prevents
+ * oscillation.  Without statistics it returns to one.
  */
 class ZoneSpillover
 {
 public:
-  /// Add a source of figures, asked where those before it know too little.
-  /// \param room outlives this.
-  void AddSource(const CapacityView& room) { this->Sources.push_back(&room); }
+  /// Add a source of statistics, used if earlier ones know fewer than two
+  /// zones of a service.
+  /// \param source outlives this object.
+  void AddSource(const CapacityView& source)
+  {
+    this->Sources.push_back(&source);
+  }
 
-  /// Let openings leave zones without room, or not.
+  /// Enable or disable spillover.
   void SetEnabled(bool enabled);
 
-  /// Say whether openings of a service are limited: its back ends are full in
-  /// all zones.  Each zone then keeps its fraction of the slots and no more,
-  /// so that none is less full than others.
+  /// Set whether admission limits the openings of a service because its
+  /// backends are overloaded in all zones.  The local share of a zone is then
+  /// at most its share of the slots, so that all zones are loaded equally.
   void SetLimited(ServiceId service, bool limited)
   {
     this->Services[service].IsLimited = limited;
   }
 
-  /// Work out again, now and then, what the zones of a service keep.
-  /// \param candidates the service's back ends that take flows.
+  /// Update the local shares of a service if the update interval has passed.
+  /// \param candidates the service's backends that accept flows.
   void Update(const std::vector<PlacementCandidate>& candidates, Time now);
 
-  /// Get the share of a zone's openings that stays there.
+  /// Get the share of a zone's openings that stays in the zone, 0 to 1.
   double GetLocalShare(ServiceId service, ZoneId zone) const;
 
-  /// Tell whether a zone may take openings that others have no room for.
+  /// Return whether a zone may receive openings of overloaded zones.
   bool AcceptsSpillover(ServiceId service, ZoneId zone) const;
 
-  /// Note that an opening left a zone for want of room.
+  /// Count an opening that left an overloaded zone.
   void OnSpilled() { ++this->Spilled; }
   std::uint64_t CountSpilled() const { return this->Spilled; }
 
-  /// Get the lowestDemand share that any service keeps, by zone.
+  /// Get the lowest local share of any service, by zone.
   std::map<ZoneId, double> GetLocalShareByZone() const;
 
   std::vector<SpilloverChange> TakeChanges()
@@ -88,13 +93,12 @@
   struct Zone
   {
     double Share = 1;
-    double SlotShare = 0;       ///< Of the service's slots, its fraction.
-    bool HasStatistics = false; ///< There are figures.
+    double SlotShare = 0; ///< Share of the service's slots.
+    bool HasStatistics = false;
     bool IsSpilling = false;
     double Demand = 0;
     Duration Age = kMinStatisticsAge;
-    std::deque<PastShare>
-      History; ///< Shares of the past kShareHistoryRetention.
+    std::deque<PastShare> History; ///< Kept for kShareHistoryRetention.
 
     double GetShareAt(Time when) const;
   };
@@ -102,16 +106,15 @@
   {
     Time UpdatedAt{};
     Time CountedAt{};
-    std::size_t CountedBackends =
-      0; ///< Back ends that zones were counted from.
+    std::size_t CountedBackends = 0; ///< Candidates at the last count.
     bool IsLimited = false;
     std::map<ZoneId, Zone> Zones;
   };
 
-  /// Find the zones with back ends that take flows, and their slots.
+  /// Find the zones with backends that accept flows, and their slot shares.
   static void CountZones(Service& service,
                          const std::vector<PlacementCandidate>& candidates);
-  /// Take the figures of the first source that knows two zones of a service.
+  /// Read statistics from the first source that knows at least two zones.
   void ReadStatistics(ServiceId id, Service& service, Time now) const;
   void AdjustShares(ServiceId id,
                     Service& service,
