--- a/src/core/load/load_statistics.h
+++ b/src/core/load/load_statistics.h
@@ -29,9 +29,9 @@
   BackendId Backend = kNoBackend;
   ServiceId Service{ 0 };
   ZoneId Zone = kNoZone;
-  std::uint32_t Rank = 0; ///< Zero is the highest priority.
+  std::uint32_t Priority = 0; ///< Zero is the highest priority.
   OpeningOutcome Outcome = OpeningOutcome::kServed;
-  Duration Took{}; ///< Time from the opening to the outcome.
+  Duration Elapsed{}; ///< Time from the opening to the outcome.
 };
 
 /// Receives the outcomes of openings.
--- a/src/core/load/opening_tracker.cc
+++ b/src/core/load/opening_tracker.cc
@@ -144,7 +144,7 @@
   ++this->Counters.Ended.at(static_cast<std::size_t>(outcome));
   const PlacedOpening& opening = entry.Opening;
   const OpeningResult result{ opening.Backend, opening.Service,
-                              opening.Zone,    opening.Rank,
+                              opening.Zone,    opening.Priority,
                               outcome,         now - entry.OpenedAt };
   for (OpeningListener* listener : this->Listeners) {
     listener->OnOpeningEnded(result, now);
--- a/src/core/load/opening_tracker.h
+++ b/src/core/load/opening_tracker.h
@@ -26,7 +26,7 @@
   BackendId Backend = kNoBackend;
   ServiceId Service{ 0 };
   ZoneId Zone = kNoZone;
-  std::uint32_t Rank = 0; ///< Zero is the highest priority.
+  std::uint32_t Priority = 0; ///< Zero is the highest priority.
 };
 
 /// Counters of OpeningTracker; see docs/METRICS.md.
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -226,8 +226,8 @@
   const double flows = this->Inputs.Flows.openOn(candidate.id) + 1.0;
   const bool isWarming = now < candidate.warmUntil;
   const double warmUp = isWarming ? kWarmUpFactor : 1.0;
-  const double slowness =
-    this->Inputs.Answers.GetSlowness(candidate.id, candidate.service, now);
+  const double slowness = this->Inputs.ResponseTimes.GetSlowness(
+    candidate.id, candidate.service, now);
   const double factor = std::max(warmUp, slowness);
   const double warmUpRate =
     isWarming ? this->Inputs.Routes.coldOpenings(candidate.service) : 0;
--- a/src/core/placement/backend_chooser.h
+++ b/src/core/placement/backend_chooser.h
@@ -40,7 +40,7 @@
   const TokenFlows& Flows;
   const OpeningPacer& Pacer;
   const WarmUpBudget& WarmUps;
-  const AnswerTimes& Answers;
+  const AnswerTimes& ResponseTimes;
   Random& RandomSource;
   ZoneSpillover& Spill;
 };
--- a/src/core/placement/local_capacity_estimator.cc
+++ b/src/core/placement/local_capacity_estimator.cc
@@ -66,7 +66,7 @@
     samples.Rejected += isRejected ? 1 : 0;
     return;
   }
-  const double seconds = std::chrono::duration<double>(result.Took).count();
+  const double seconds = std::chrono::duration<double>(result.Elapsed).count();
   samples.Served += 1;
   samples.ResponseSeconds += seconds;
   samples.UpdateBaseline(seconds, elapsed);
--- a/tests/core/admission/full_backends.h
+++ b/tests/core/admission/full_backends.h
@@ -190,7 +190,7 @@
     event.Told = true;
     event.Result =
       this->Serve(this->Random.below(this->Finishes.size()), rank);
-    event.At = this->Now + event.Result.Took;
+    event.At = this->Now + event.Result.Elapsed;
     this->Events.push(event);
   }
 
@@ -216,7 +216,7 @@
       : finishes[finishes.size() - kSlots];
     finishes.push_back(start + kWork);
     result.Outcome = core::OpeningOutcome::kServed;
-    result.Took = start + kWork - this->Now;
+    result.Elapsed = start + kWork - this->Now;
     return result;
   }
 
--- a/tests/core/load/opening_tracker_test.cc
+++ b/tests/core/load/opening_tracker_test.cc
@@ -48,7 +48,7 @@
     core::PlacedOpening opening;
     opening.Route = endpoint(90, 1, 443);
     opening.Backend = core::BackendId{ 7 };
-    opening.Rank = 2;
+    opening.Priority = 2;
     this->Tracker.OnOpening(FlowOf(caller), opening, this->Now);
   }
 
@@ -109,7 +109,7 @@
   }
 };
 
-bool Is(std::optional<OpeningOutcome> outcome, OpeningOutcome expected)
+bool HasOutcome(std::optional<OpeningOutcome> outcome, OpeningOutcome expected)
 {
   return outcome == expected;
 }
@@ -125,8 +125,8 @@
   const core::OpeningResult result = this->Recorder.Results[0];
   BOOST_TEST((result.Outcome == OpeningOutcome::kServed));
   BOOST_TEST((result.Backend == core::BackendId{ 7 }));
-  BOOST_TEST(result.Rank == 2U);
-  BOOST_TEST((result.Took == 30ms));
+  BOOST_TEST(result.Priority == 2U);
+  BOOST_TEST((result.Elapsed == 30ms));
   BOOST_TEST(this->Tracker.CountTracked() == 0U);
 }
 
@@ -137,7 +137,7 @@
   this->Wait(200ms);
   BOOST_TEST(this->Recorder.Results.empty());
   this->Wait(200ms);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kReset));
+  BOOST_TEST(HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kReset));
   this->Wait(2s);
   BOOST_TEST(this->Recorder.Results.empty());
 }
@@ -147,7 +147,8 @@
   this->Open(1);
   this->Wait(200ms);
   this->Tracker.OnRetransmission(FlowOf(1), this->Now);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kUnanswered));
+  BOOST_TEST(
+    HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kUnanswered));
   this->Tracker.OnRetransmission(FlowOf(1), this->Now);
   this->Wait(2s);
   BOOST_TEST(this->Recorder.Results.empty());
@@ -161,7 +162,8 @@
   this->Wait(4s);
   BOOST_TEST(this->Recorder.Results.empty());
   this->Send(1, 0, 1 + kRequestBytes, 0, core::PacketKind::kClosing);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kUnanswered));
+  BOOST_TEST(
+    HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kUnanswered));
 }
 
 BOOST_FIXTURE_TEST_CASE(request_without_further_packets_is_reset,
@@ -174,7 +176,7 @@
   this->Wait(500ms);
   BOOST_TEST(this->Recorder.Results.empty());
   this->Wait(200ms);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kReset));
+  BOOST_TEST(HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kReset));
   // Though its answer were only late.
   this->Send(
     1, kTypicalBytes, 1 + kRequestBytes, 0, core::PacketKind::kClosing);
@@ -190,7 +192,8 @@
   this->Wait(200ms);
   this->Send(1, 0, 1, kRequestBytes);
   this->Wait(500ms);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kUnanswered));
+  BOOST_TEST(
+    HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kUnanswered));
 }
 
 BOOST_FIXTURE_TEST_CASE(slow_response_is_not_a_reset, TrackerFixture)
@@ -210,11 +213,11 @@
   TrackerFixture)
 {
   this->CompleteRequest(1, kRejectionBytes);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kServed));
+  BOOST_TEST(HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kServed));
   this->CompleteRequests(core::kMinResponseSamples, kTypicalBytes);
   this->Recorder.Results.clear();
   this->CompleteRequest(2, kRejectionBytes);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kRejected));
+  BOOST_TEST(HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kRejected));
 }
 
 BOOST_FIXTURE_TEST_CASE(
@@ -265,7 +268,7 @@
   this->Send(1, 0, 1, kRequestBytes);
   this->Wait(50ms);
   this->Send(1, kTypicalBytes / 2, 1 + kRequestBytes, 0);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kServed));
+  BOOST_TEST(HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kServed));
   this->Send(1, kTypicalBytes, 1 + kRequestBytes, kRequestBytes);
   BOOST_TEST(this->Tracker.CountTracked() == 0U);
   this->Send(1, kTypicalBytes + kRejectionBytes, 1 + 2 * kRequestBytes, 0);
@@ -284,7 +287,7 @@
   this->Send(1, kRejectionBytes, 1 + kRequestBytes, 0);
   BOOST_TEST(this->Recorder.Results.empty());
   this->Wait(300ms);
-  BOOST_TEST(Is(this->TakeSingleOutcome(), OpeningOutcome::kRejected));
+  BOOST_TEST(HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kRejected));
 }
 
 BOOST_FIXTURE_TEST_CASE(pending_openings_are_discarded_after_suspension,
@@ -355,7 +358,7 @@
   BOOST_TEST((result.Backend == backend));
   BOOST_TEST((result.Service == core::serviceIdOf("web")));
   BOOST_TEST((result.Zone == core::zoneIdOf("a")));
-  BOOST_TEST((result.Took == 40ms));
+  BOOST_TEST((result.Elapsed == 40ms));
 }
 
 BOOST_FIXTURE_TEST_CASE(steering_distinguishes_retransmissions_from_resets,
--- a/tests/core/placement/zone_queue_model.h
+++ b/tests/core/placement/zone_queue_model.h
@@ -48,7 +48,7 @@
   explicit ZoneQueueModel(std::size_t zones)
     : Demand(zones, 0.2)
     , Capacities(zones)
-    , Use(zones)
+    , Utilization(zones)
     , Spills(zones)
   {
     this->Reported.Zones.resize(zones);
@@ -85,7 +85,7 @@
     const double fraction =
       std::chrono::duration<double>(kStep).count() / kQueueTimeConstant;
     for (std::size_t zone = 0; zone < zones; ++zone) {
-      this->Use[zone] = offered[zone];
+      this->Utilization[zone] = offered[zone];
       const double steadyState = offered[zone] < core::kMaxSlotUtilization
         ? core::GetRequestsPerSlot(offered[zone])
         : kMaxLoadPerSlot;
@@ -117,7 +117,7 @@
   /// Changes reports on their way; false: the report is lost.
   std::function<bool(std::vector<core::ZoneCapacity>&)> OnReport;
   std::vector<core::ZoneCapacity> Capacities;
-  std::vector<double> Use; ///< Asked of each zone in the last step.
+  std::vector<double> Utilization; ///< Asked of each zone in the last step.
   std::vector<core::ZoneSpillover> Spills;
   core::Time Now = 100s;
 
--- a/tests/core/placement/zone_spillover_test.cc
+++ b/tests/core/placement/zone_spillover_test.cc
@@ -25,8 +25,8 @@
   for (core::Duration passed{}; passed < time;
        passed += ZoneQueueModel::kStep) {
     queues.Step();
-    lowest = std::min(lowest, queues.Use[zone]);
-    highest = std::max(highest, queues.Use[zone]);
+    lowest = std::min(lowest, queues.Utilization[zone]);
+    highest = std::max(highest, queues.Utilization[zone]);
   }
   return highest - lowest;
 }
@@ -68,8 +68,8 @@
       queues.Demand[0] = kBurstDemand;
       queues.Run(700ms + 2 * delay);
       // The zone's tries fit, and those of other zones still do.
-      BOOST_TEST(queues.Use[0] < 0.8);
-      BOOST_TEST(queues.Use[1] < 0.8);
+      BOOST_TEST(queues.Utilization[0] < 0.8);
+      BOOST_TEST(queues.Utilization[1] < 0.8);
       queues.Run(2s);
       BOOST_TEST(MeasureSwing(queues, 0, 4s) < 0.1);
       queues.Demand[0] = 0.2;
@@ -85,7 +85,7 @@
   queues.Demand = { kBurstDemand, kBurstDemand, 0.2, 0.2 };
   queues.Run(6s);
   for (std::size_t zone = 0; zone < 4; ++zone) {
-    BOOST_TEST(queues.Use[zone] < 0.85);
+    BOOST_TEST(queues.Utilization[zone] < 0.85);
   }
   BOOST_TEST(MeasureSwing(queues, 0, 4s) < 0.15);
 }
@@ -115,7 +115,7 @@
   };
   queues.Demand[0] = kBurstDemand;
   queues.Run(5s);
-  BOOST_TEST(queues.Use[0] < 0.85);
+  BOOST_TEST(queues.Utilization[0] < 0.85);
   BOOST_TEST(MeasureSwing(queues, 0, 4s) < 0.35);
 }
 
@@ -132,7 +132,7 @@
   queues.Demand[0] = kBurstDemand;
   queues.Run(3s);
   BOOST_TEST(MeasureSwing(queues, 0, 4s) < 0.35);
-  BOOST_TEST(queues.Use[0] < 0.9);
+  BOOST_TEST(queues.Utilization[0] < 0.9);
 }
 
 BOOST_AUTO_TEST_CASE(PolicyAppliesWithoutStatistics)
@@ -195,7 +195,7 @@
 
 BOOST_AUTO_TEST_CASE(RandomDemandsKeepUtilizationBounded)
 {
-  const bool isHeld = rc::check("zones with too little capacity", [] {
+  const bool holds = rc::check("zones with too little capacity", [] {
     const auto zones = *rc::gen::inRange<std::size_t>(2, 7);
     ZoneQueueModel queues(zones);
     double sum = 0;
@@ -207,7 +207,7 @@
     queues.Run(8s);
     const double equal = sum / static_cast<double>(zones);
     const double least =
-      *std::min_element(queues.Use.begin(), queues.Use.end());
+      *std::min_element(queues.Utilization.begin(), queues.Utilization.end());
     for (std::size_t zone = 0; zone < zones; ++zone) {
       RC_ASSERT(queues.LocalShare(zone) >= core::kMinLocalShare);
       RC_ASSERT(queues.LocalShare(zone) <= 1);
@@ -215,15 +215,15 @@
       // split.
       const double maxUtilization =
         std::max(core::GetMaxLocalUtilization(least), equal);
-      RC_ASSERT(queues.Use[zone] <= maxUtilization + 0.15);
+      RC_ASSERT(queues.Utilization[zone] <= maxUtilization + 0.15);
     }
   });
-  BOOST_TEST(isHeld);
+  BOOST_TEST(holds);
 }
 
 BOOST_AUTO_TEST_CASE(EqualDemandKeepsAllOpenings)
 {
-  const bool isHeld = rc::check("zones alike", [] {
+  const bool holds = rc::check("zones alike", [] {
     ZoneQueueModel queues(*rc::gen::inRange<std::size_t>(2, 7));
     const double demand = *rc::gen::inRange(0, 95) / 100.0;
     for (double& each : queues.Demand) {
@@ -234,7 +234,7 @@
       RC_ASSERT(queues.LocalShare(zone) == 1);
     }
   });
-  BOOST_TEST(isHeld);
+  BOOST_TEST(holds);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
