--- a/tests/core/load/fleet_load_test.cc
+++ b/tests/core/load/fleet_load_test.cc
@@ -42,7 +42,7 @@
   return report;
 }
 
-/// The root of a tree; its followers are the test's.
+/// The root of a tree; its followers are simulated by the test.
 struct RootFixture
 {
   core::LoadMeter Meter;
@@ -188,7 +188,7 @@
       changes.push_back(change);
     }
   }
-  BOOST_TEST(summaries == 2 * 2U); // A question, and the sum.
+  BOOST_TEST(summaries == 2 * 2U); // Report request and summary.
   BOOST_REQUIRE_EQUAL(changes.size(), 1U);
   BOOST_TEST(changes[0].IsBusy);
   BOOST_TEST(changes[0].Load.InFlight == 6U);
@@ -203,8 +203,9 @@
 
 using Content = std::variant<core::LoadReport, core::LoadSummary>;
 
-/// Daemons with clocks of their own, each with one request of a service of
-/// its own, so that the root's sum shows who is counted how often.
+/// Daemons with different clocks.  Each has one request in flight for a
+/// service of its own, so that the sum at the root shows how often it is
+/// counted.
 struct Tree
 {
   struct Daemon
@@ -334,7 +335,8 @@
     return this->Daemons[0]->Load->GetLoad(key).InFlight;
   }
 
-  /// One step of a bad day.
+  /// Execute a random step: tick, change of upstream, delivery, loss or
+  /// repetition of a message.
   void Execute(unsigned command, unsigned choice)
   {
     const std::size_t index = choice % kDaemons;
@@ -361,11 +363,11 @@
     }
     const std::size_t at = choice % this->InTransit.size();
     const Message message = this->InTransit[at];
-    if (command % 8 != 5) { // Else it is repeated later.
+    if (command % 8 != 5) { // Otherwise it is repeated later.
       this->InTransit.erase(this->InTransit.begin() +
                             static_cast<std::ptrdiff_t>(at));
     }
-    if (command % 8 != 6) { // Else it is lost.
+    if (command % 8 != 6) { // Otherwise it is lost.
       this->Deliver(message);
     }
   }
@@ -429,7 +431,7 @@
     RC_ASSERT(tree.Daemons[0]->Load->CountDaemons() == 1U);
   });
   BOOST_TEST(holds);
-  // The sequences reach what they are about.
+  // Ensure that the sequences deliver reports to the root.
   BOOST_TEST(counted > 1000U);
 }
 
--- a/tests/core/load/opening_tracker_test.cc
+++ b/tests/core/load/opening_tracker_test.cc
@@ -15,7 +15,7 @@
 constexpr std::uint32_t kTypicalBytes = 2000;
 constexpr std::uint32_t kRejectionBytes = 160;
 constexpr std::uint32_t kRequestBytes = 300;
-/// What a back end's own sequence numbers begin with.
+/// Initial sequence number of the backend; wraps around.
 constexpr std::uint32_t kInitialSequence = 0xfffffff0;
 
 struct ResultRecorder : core::OpeningListener
@@ -29,7 +29,7 @@
   }
 };
 
-/// One route's callers; packets go straight to the watcher.
+/// Clients of one route, with packets passed directly to the tracker.
 struct TrackerFixture
 {
   core::OpeningTracker Tracker;
@@ -66,7 +66,7 @@
     this->Tracker.OnPacket(FlowOf(caller), packet, this->Now);
   }
 
-  /// One request whose caller gets `bytes`, and then closes.
+  /// Open a flow that closes after one request and a response of `bytes`.
   void CompleteRequest(std::uint64_t caller, std::uint32_t bytes)
   {
     this->Open(caller);
@@ -177,7 +177,7 @@
   BOOST_TEST(this->Recorder.Results.empty());
   this->Wait(200ms);
   BOOST_TEST(HasOutcome(this->TakeSingleOutcome(), OpeningOutcome::kReset));
-  // Though its answer were only late.
+  // A late response does not change the outcome.
   this->Send(
     1, kTypicalBytes, 1 + kRequestBytes, 0, core::PacketKind::kClosing);
   BOOST_TEST(this->Recorder.Results.empty());
@@ -230,7 +230,7 @@
   }
   BOOST_TEST(this->Count(OpeningOutcome::kRejected) >
              core::kResponseLengthSamples);
-  // Once known, they stay so for long.
+  // A long series of rejections does not change the typical length.
   this->Recorder.Results.clear();
   this->CompleteRequests(100, kRejectionBytes);
   BOOST_TEST(this->Count(OpeningOutcome::kRejected) == 100U);
@@ -241,7 +241,7 @@
 {
   this->CompleteRequests(100, kRejectionBytes);
   BOOST_TEST(this->Count(OpeningOutcome::kRejected) == 0U);
-  // Also where they were longer before.
+  // The same after longer responses.
   this->CompleteRequests(core::kResponseLengthSamples, kTypicalBytes);
   this->CompleteRequests(core::kResponseLengthSamples *
                            core::kShortResponsesPerSample,
@@ -370,7 +370,7 @@
   this->open(2, 1);
   this->Wait(200ms);
   this->Wait(2s);
-  // The copy went to another back end, where nothing followed it either.
+  // The retransmission went to another backend and was reset there.
   BOOST_REQUIRE_EQUAL(this->Recorder.Results.size(), 3U);
   BOOST_TEST(
     (this->Recorder.Results[0].Outcome == OpeningOutcome::kUnanswered));
--- a/tests/core/load/relayed_load_test.cc
+++ b/tests/core/load/relayed_load_test.cc
@@ -5,7 +5,7 @@
 
 constexpr std::size_t kDaemons = 40;
 
-/// A fleet in which each daemon has a request in flight all the time.
+/// A fleet in which each daemon always has one request in flight.
 struct LoadedFleet : RelayFixture
 {
   const core::LoadKey Key{ core::serviceIdOf("web"), core::zoneIdOf("a") };
@@ -41,8 +41,8 @@
       this->Key.first, this->Key.second, node.Clock(this->Now));
   }
 
-  /// \return how many daemons have figures, with the load of `least` daemons
-  /// at least and of `most` at most.
+  /// \return the number of daemons with statistics that cover at least `least`
+  /// daemons; checks that none cover more than `most`.
   std::size_t CountInformed(std::uint32_t least, std::uint32_t most)
   {
     std::size_t count = 0;
@@ -64,7 +64,7 @@
 {
   this->RunLoaded(20s);
   BOOST_TEST(this->CountInformed(kDaemons - 2, kDaemons) == kDaemons);
-  // 11 back ends with two slots each.
+  // 11 backends with two slots each.
   BOOST_TEST(this->CapacityAt(30).value().Utilization > 0.9);
 }
 
@@ -93,7 +93,7 @@
     this->At(i).PeersCut = true;
   }
   this->RunLoaded(8s);
-  // Those cut off from everyone know nothing rather than their own alone.
+  // Isolated daemons have no statistics rather than only their own load.
   BOOST_TEST(this->CountInformed(kDaemons / 2 - 2, kDaemons / 2) ==
              kDaemons / 2);
   for (std::size_t i = kDaemons / 2; i < kDaemons; ++i) {
--- a/tests/core/placement/local_capacity_estimator_test.cc
+++ b/tests/core/placement/local_capacity_estimator_test.cc
@@ -1,4 +1,5 @@
-/// Estimator of zones as a daemon's own openings show it.
+/// @file
+/// Capacity of zones, estimated from the outcomes of openings.
 #include "core/placement/local_capacity_estimator.h"
 
 #include <boost/test/unit_test.hpp>
@@ -20,7 +21,7 @@
   core::LocalCapacityEstimator Estimator;
   core::Time Now = 100s;
 
-  /// Ends forty openings a second.
+  /// End openings at a rate of 40 per second.
   void EndOpenings(core::ZoneId zone,
                    int count,
                    core::Duration took,
@@ -51,7 +52,8 @@
 {
   this->EndOpenings(kLocal, 80, 40ms);
   BOOST_TEST(this->DemandOf(kLocal) == 0);
-  // Nothing is known of the other zone, and of an own one after a while.
+  // There are no recent samples of the other zone, and after a while none of
+  // the local one.
   BOOST_TEST(this->DemandOf(kOther) == core::kUnsampledUtilization,
              boost::test_tools::tolerance(1e-9));
   this->Now += 2s;
@@ -70,7 +72,8 @@
   BOOST_TEST(this->DemandOf(kLocal) == 0);
 }
 
-// With few served their times tell nothing, and the zone looked empty.
+// Guards against an idle estimate when too few openings are served to measure
+// response times.
 BOOST_AUTO_TEST_CASE(ZoneThatRejectsMostOpeningsIsNotIdle)
 {
   this->EndOpenings(kLocal, 80, 40ms);
--- a/tests/core/placement/spilled_openings_test.cc
+++ b/tests/core/placement/spilled_openings_test.cc
@@ -1,4 +1,5 @@
-/// Where openings go while the preferred zone has too little room.
+/// @file
+/// Placement of openings while the preferred zone is overloaded.
 #include "core/hashing.h"
 #include "core/placement/placement_limits.h"
 #include "core/token_steering.h"
@@ -7,7 +8,7 @@
 namespace cobaltgauge::tests {
 namespace {
 
-/// Prefers zone "a" as eight to one.
+/// Prefers zone "a" with eight times the weight of others.
 struct PreferZoneA : core::PlacementWeights
 {
   std::uint32_t weightOf(const core::Registration& registration) override
@@ -78,8 +79,8 @@
     }
   }
 
-  /// Opens flows that end at once, for four seconds, then counts for four
-  /// more.
+  /// Open flows that end at once for eight seconds, and count those of the
+  /// last four by zone.
   void PlaceOpenings()
   {
     for (int opening = 0; opening < 800; ++opening) {
@@ -117,7 +118,7 @@
 {
   this->Capacity.SetLoad("a", kOverload);
   this->PlaceOpenings();
-  // The figures say full whatever it gets, so it keeps the least.
+  // The zone stays overloaded, so its local share falls to the minimum.
   BOOST_TEST(this->Placed["a"] < 40);
   BOOST_TEST(this->Placed["a"] > 0);
   BOOST_TEST(this->Placed["b"] > 120);
--- a/tests/core/placement/zone_queue_model.h
+++ b/tests/core/placement/zone_queue_model.h
@@ -1,6 +1,6 @@
 /// @file
-/// Zones with back ends of two slots as queues, and the daemons that fill
-/// them, as far as tests of placement by capacity need it.
+/// Queueing model of zones and of the daemons that send openings to them, for
+/// tests of zone spillover.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
 
 using namespace std::chrono_literals;
 
-/// Figures that a test gives.
+/// Capacities that are set by a test.
 struct FixedCapacity : core::CapacityView
 {
   std::vector<std::optional<core::ZoneCapacity>> Zones;
@@ -36,14 +36,14 @@
   return core::ZoneId{ static_cast<std::uint32_t>(index + 1) };
 }
 
-/// The daemons of each zone all see the same figures at the same time, which
-/// is where herds come from; they prefer their own zone.
+/// All daemons receive the same statistics at the same time, which can
+/// cause oscillation.  Each prefers its own zone.
 struct ZoneQueueModel
 {
   static constexpr core::Duration kStep = 50ms;
-  static constexpr double kQueueTimeConstant = 0.1; ///< Seconds a queue takes.
-  static constexpr double kMaxLoadPerSlot =
-    5; ///< Eight wait and two run, of two.
+  static constexpr double kQueueTimeConstant = 0.1; ///< In seconds.
+  /// Eight queued and two running requests for two slots.
+  static constexpr double kMaxLoadPerSlot = 5;
 
   explicit ZoneQueueModel(std::size_t zones)
     : Demand(zones, 0.2)
@@ -111,13 +111,13 @@
     }
   }
 
-  std::vector<double> Demand; ///< By zone, in slots of one zone.
+  std::vector<double> Demand; ///< By zone, relative to the slots of one zone.
   core::Duration Delay = 300ms;
   core::Duration Period = 200ms;
-  /// Changes reports on their way; false: the report is lost.
+  /// May modify a report in transit; returns false to drop it.
   std::function<bool(std::vector<core::ZoneCapacity>&)> OnReport;
   std::vector<core::ZoneCapacity> Capacities;
-  std::vector<double> Utilization; ///< Asked of each zone in the last step.
+  std::vector<double> Utilization; ///< Offered load by zone in the last step.
   std::vector<core::ZoneSpillover> Spills;
   core::Time Now = 100s;
 
--- a/tests/core/placement/zone_spillover_test.cc
+++ b/tests/core/placement/zone_spillover_test.cc
@@ -1,4 +1,5 @@
-/// Shares that zones keep, over figures of any kind.
+/// @file
+/// Local shares of zones with delayed, lost and wrong statistics.
 #include "core/placement/zone_spillover.h"
 
 #include <boost/test/unit_test.hpp>
@@ -12,10 +13,11 @@
 namespace cobaltgauge::tests {
 namespace {
 
-/// A zone's callers five times as many, where it was used to a quarter.
+/// Demand of a zone during a burst, above its capacity.
 constexpr double kBurstDemand = 1.2;
 
-/// Get how far the use of a zone swings within some time.
+/// Get the difference between the highest and lowest utilization of a zone
+/// within some time.
 double MeasureSwing(ZoneQueueModel& queues,
                     std::size_t zone,
                     core::Duration time)
@@ -67,7 +69,7 @@
       queues.Run(3s);
       queues.Demand[0] = kBurstDemand;
       queues.Run(700ms + 2 * delay);
-      // The zone's tries fit, and those of other zones still do.
+      // Neither the local nor another zone is overloaded.
       BOOST_TEST(queues.Utilization[0] < 0.8);
       BOOST_TEST(queues.Utilization[1] < 0.8);
       queues.Run(2s);
@@ -163,8 +165,7 @@
   BOOST_TEST(!ended[0].Began);
 }
 
-// Limited daemons that kept to their own zone left slots of others idle while
-// openings were refused.
+// Guards against idle slots in other zones while openings are refused.
 BOOST_AUTO_TEST_CASE(LimitedServiceKeepsSlotShareInEachZone)
 {
   ZoneQueueModel queues(3);
@@ -211,8 +212,7 @@
     for (std::size_t zone = 0; zone < zones; ++zone) {
       RC_ASSERT(queues.LocalShare(zone) >= core::kMinLocalShare);
       RC_ASSERT(queues.LocalShare(zone) <= 1);
-      // No more than it maxUtilization, or than all would get of an equal
-      // split.
+      // At most the acceptable utilization, or that of an equal split.
       const double maxUtilization =
         std::max(core::GetMaxLocalUtilization(least), equal);
       RC_ASSERT(queues.Utilization[zone] <= maxUtilization + 0.15);
