--- a/tests/core/load/fleet_load_test.cc
+++ b/tests/core/load/fleet_load_test.cc
@@ -22,9 +22,9 @@
   return { core::ServiceId{ service }, core::ZoneId{ 1 } };
 }
 
-core::FlowFingerprint FlowOf(std::uint64_t caller)
+core::FlowFingerprint FlowOf(std::uint64_t client)
 {
-  return core::FlowFingerprint{ caller };
+  return core::FlowFingerprint{ client };
 }
 
 core::LoadReport ReportOf(std::uint8_t host,
@@ -143,8 +143,8 @@
 
 BOOST_FIXTURE_TEST_CASE(rejected_share_is_relative_to_openings, RootFixture)
 {
-  for (std::uint64_t caller = 0; caller < 8; ++caller) {
-    this->Meter.OnOpening(FlowOf(caller), KeyOf(1), this->Now);
+  for (std::uint64_t client = 0; client < 8; ++client) {
+    this->Meter.OnOpening(FlowOf(client), KeyOf(1), this->Now);
   }
   core::OpeningResult result;
   result.Service = KeyOf(1).first;
@@ -175,8 +175,8 @@
   this->Now += 200ms;
   this->Tick();
   BOOST_TEST(this->Load.TakeSummaries(this->Now).empty());
-  for (std::uint64_t caller = 0; caller < 6; ++caller) {
-    this->Meter.OnRequest(FlowOf(caller), KeyOf(1), this->Now);
+  for (std::uint64_t client = 0; client < 6; ++client) {
+    this->Meter.OnRequest(FlowOf(client), KeyOf(1), this->Now);
   }
   std::size_t summaries = 0;
   std::vector<core::ZoneBusyChange> changes;
@@ -395,8 +395,8 @@
 {
   Tree tree;
   tree.Run(20s);
-  for (std::uint64_t caller = 10; caller < 20; ++caller) {
-    tree.Daemons[3]->Meter.OnRequest(FlowOf(caller), KeyOf(1), tree.Clock(3));
+  for (std::uint64_t client = 10; client < 20; ++client) {
+    tree.Daemons[3]->Meter.OnRequest(FlowOf(client), KeyOf(1), tree.Clock(3));
   }
   tree.Run(1s);
   tree.Daemons[5]->IsSuspended = true;
--- a/tests/core/load/load_meter_test.cc
+++ b/tests/core/load/load_meter_test.cc
@@ -15,9 +15,9 @@
   core::Time Now = 100s;
   core::LoadKey Key{ core::serviceIdOf("web"), core::zoneIdOf("a") };
 
-  static core::FlowFingerprint FlowOf(std::uint64_t caller)
+  static core::FlowFingerprint FlowOf(std::uint64_t client)
   {
-    return core::FlowFingerprint{ caller };
+    return core::FlowFingerprint{ client };
   }
 
   core::ZoneLoad Get() const
@@ -122,10 +122,10 @@
                         MeterFixture)
 {
   this->LearnResponseTime(40ms);
-  for (std::uint64_t caller = 2; caller < 40; ++caller) {
-    this->Meter.OnRequest(FlowOf(caller), this->Key, this->Now);
+  for (std::uint64_t client = 2; client < 40; ++client) {
+    this->Meter.OnRequest(FlowOf(client), this->Key, this->Now);
     this->Wait(400ms);
-    this->Meter.OnResponse(FlowOf(caller), this->Now);
+    this->Meter.OnResponse(FlowOf(client), this->Now);
   }
   this->Meter.OnRequest(FlowOf(1), this->Key, this->Now);
   this->Wait(600ms);
--- a/tests/core/load/opening_tracker_test.cc
+++ b/tests/core/load/opening_tracker_test.cc
@@ -38,21 +38,21 @@
 
   TrackerFixture() { this->Tracker.AddListener(&this->Recorder); }
 
-  static core::FlowFingerprint FlowOf(std::uint64_t caller)
+  static core::FlowFingerprint FlowOf(std::uint64_t client)
   {
-    return core::FlowFingerprint{ caller };
+    return core::FlowFingerprint{ client };
   }
 
-  void Open(std::uint64_t caller)
+  void Open(std::uint64_t client)
   {
     core::PlacedOpening opening;
     opening.Route = endpoint(90, 1, 443);
     opening.Backend = core::BackendId{ 7 };
     opening.Priority = 2;
-    this->Tracker.OnOpening(FlowOf(caller), opening, this->Now);
+    this->Tracker.OnOpening(FlowOf(client), opening, this->Now);
   }
 
-  void Send(std::uint64_t caller,
+  void Send(std::uint64_t client,
             std::uint32_t received,
             std::uint32_t sent,
             std::uint32_t length,
@@ -63,17 +63,17 @@
     packet.acknowledgement = kInitialSequence + received;
     packet.sequence = sent;
     packet.dataLength = length;
-    this->Tracker.OnPacket(FlowOf(caller), packet, this->Now);
+    this->Tracker.OnPacket(FlowOf(client), packet, this->Now);
   }
 
   /// Open a flow that closes after one request and a response of `bytes`.
-  void CompleteRequest(std::uint64_t caller, std::uint32_t bytes)
+  void CompleteRequest(std::uint64_t client, std::uint32_t bytes)
   {
-    this->Open(caller);
-    this->Send(caller, 0, 1, kRequestBytes);
+    this->Open(client);
+    this->Send(client, 0, 1, kRequestBytes);
     this->Now += 30ms;
     this->Send(
-      caller, bytes, 1 + kRequestBytes, 0, core::PacketKind::kClosing);
+      client, bytes, 1 + kRequestBytes, 0, core::PacketKind::kClosing);
   }
 
   void Wait(core::Duration span)
@@ -198,12 +198,12 @@
 
 BOOST_FIXTURE_TEST_CASE(slow_response_is_not_a_reset, TrackerFixture)
 {
-  for (std::uint64_t caller = 1; caller < 100; ++caller) {
-    this->Open(caller);
-    this->Send(caller, 0, 1, kRequestBytes);
+  for (std::uint64_t client = 1; client < 100; ++client) {
+    this->Open(client);
+    this->Send(client, 0, 1, kRequestBytes);
     this->Wait(2s);
     this->Send(
-      caller, kTypicalBytes, 1 + kRequestBytes, 0, core::PacketKind::kClosing);
+      client, kTypicalBytes, 1 + kRequestBytes, 0, core::PacketKind::kClosing);
   }
   BOOST_TEST(this->Count(OpeningOutcome::kServed) == 99U);
 }
@@ -306,10 +306,10 @@
 
 BOOST_FIXTURE_TEST_CASE(number_of_tracked_openings_is_bounded, TrackerFixture)
 {
-  for (std::uint64_t caller = 1; caller <= 2 * core::kMaxTrackedOpenings;
-       ++caller) {
-    this->Open(caller);
-    this->Send(caller, 0, 1, kRequestBytes);
+  for (std::uint64_t client = 1; client <= 2 * core::kMaxTrackedOpenings;
+       ++client) {
+    this->Open(client);
+    this->Send(client, 0, 1, kRequestBytes);
   }
   BOOST_TEST(this->Tracker.CountTracked() == core::kMaxTrackedOpenings);
   this->Wait(core::kTrackingIdleTimeout + 2s);
