--- a/src/core/relay/nearness.h
+++ b/src/core/relay/address_proximity.h
@@ -10,8 +10,8 @@
 namespace cobaltgauge::core {
 
 /// Count the leading bytes that two addresses share; more means nearer.
-inline std::size_t CountSharedBytes(const Endpoint& left,
-                                    const Endpoint& right)
+inline std::size_t CountCommonPrefixBytes(const Endpoint& left,
+                                          const Endpoint& right)
 {
   std::size_t count = 0;
   while (count < left.address.bytes.size() &&
--- a/src/core/relay/change_log.cc
+++ b/src/core/relay/change_log.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /// Count the items that a change carries.
-std::size_t WeightOf(const StoreChange& change)
+std::size_t CountItems(const StoreChange& change)
 {
   if (const auto* delta = std::get_if<RouteDelta>(&change.item)) {
     return 1 + delta->changed.size() + delta->dropped.size();
@@ -23,58 +23,60 @@
 
 void ChangeLog::Begin(Revision listed)
 {
-  if (this->Complete == 0) {
+  if (this->CompleteRevision == 0) {
     this->Close(listed);
   }
 }
 
 void ChangeLog::Append(StoreChange change)
 {
-  const std::size_t weight = WeightOf(change);
-  this->PendingWeight += weight;
-  this->HeaviestPending = std::max(this->HeaviestPending, weight);
-  this->NewestPending = std::max(this->NewestPending, change.revision);
+  const std::size_t itemCount = CountItems(change);
+  this->PendingItemCount += itemCount;
+  this->LargestPendingChange = std::max(this->LargestPendingChange, itemCount);
+  this->NewestPendingRevision =
+    std::max(this->NewestPendingRevision, change.revision);
   // Nothing is kept of a batch that will be left out anyway.
-  if (this->PendingWeight <= kHeaviestLog) {
+  if (this->PendingItemCount <= kHeaviestLog) {
     this->Pending.push_back(std::move(change));
   }
 }
 
 void ChangeLog::Close(Revision complete)
 {
-  if (complete <= this->Complete) {
+  if (complete <= this->CompleteRevision) {
     return;
   }
-  const bool isFirst = std::exchange(this->Complete, complete) == 0;
-  const std::size_t weight = std::exchange(this->PendingWeight, 0);
-  const std::size_t heaviest = std::exchange(this->HeaviestPending, 0);
-  const Revision newest = std::exchange(this->NewestPending, 0);
-  const bool isWhole = std::exchange(this->Indivisible, false);
+  const bool isFirst = std::exchange(this->CompleteRevision, complete) == 0;
+  const std::size_t itemCount = std::exchange(this->PendingItemCount, 0);
+  const std::size_t largestChange =
+    std::exchange(this->LargestPendingChange, 0);
+  const Revision newest = std::exchange(this->NewestPendingRevision, 0);
+  const bool isIndivisible = std::exchange(this->Indivisible, false);
   std::vector<StoreChange> changes = std::exchange(this->Pending, {});
-  const std::size_t lightest = isWhole ? weight : heaviest;
-  if (isFirst || lightest > kHeaviestBatch || weight > kHeaviestLog) {
+  const std::size_t smallestPart = isIndivisible ? itemCount : largestChange;
+  if (isFirst || smallestPart > kHeaviestBatch || itemCount > kHeaviestLog) {
     this->Clear(newest);
     return;
   }
-  std::vector<StoreChange> beyond;
+  std::vector<StoreChange> newerChanges;
   std::copy_if(changes.begin(),
                changes.end(),
-               std::back_inserter(beyond),
+               std::back_inserter(newerChanges),
                [&complete](const StoreChange& change) {
                  return change.revision > complete;
                });
-  if (weight <= kHeaviestBatch) {
-    this->AddBatch({ complete, std::move(changes), weight });
+  if (itemCount <= kHeaviestBatch) {
+    this->AddBatch({ complete, std::move(changes), itemCount });
   } else {
-    this->AddInParts(std::move(changes), complete);
+    this->AddSplit(std::move(changes), complete);
   }
   this->DropOldest();
-  for (StoreChange& change : beyond) {
+  for (StoreChange& change : newerChanges) {
     this->Append(std::move(change));
   }
 }
 
-void ChangeLog::AddInParts(std::vector<StoreChange> changes, Revision complete)
+void ChangeLog::AddSplit(std::vector<StoreChange> changes, Revision complete)
 {
   // The changes of one revision are never divided, and those that are newer
   // than `complete` come with the last part.
@@ -88,63 +90,64 @@
                    });
   Batch part;
   for (StoreChange& change : changes) {
-    const std::size_t weight = WeightOf(change);
-    const bool isFull = part.Weight + weight > kHeaviestBatch;
-    if (isFull && part.Complete < end(change)) {
+    const std::size_t itemCount = CountItems(change);
+    const bool isFull = part.ItemCount + itemCount > kHeaviestBatch;
+    if (isFull && part.EndRevision < end(change)) {
       this->AddBatch(std::exchange(part, {}));
     }
-    part.Complete = end(change);
-    part.Weight += weight;
+    part.EndRevision = end(change);
+    part.ItemCount += itemCount;
     part.Changes.push_back(std::move(change));
   }
-  part.Complete = complete;
+  part.EndRevision = complete;
   this->AddBatch(std::move(part));
 }
 
 void ChangeLog::AddBatch(Batch batch)
 {
-  this->Weight += batch.Weight;
+  this->ItemCount += batch.ItemCount;
   this->Batches.push_back(std::move(batch));
 }
 
 void ChangeLog::DropOldest()
 {
-  while (this->Weight > kHeaviestLog || this->Batches.size() > kMostBatches) {
-    this->Base = this->Batches.front().Complete;
-    this->Weight -= this->Batches.front().Weight;
+  while (this->ItemCount > kHeaviestLog ||
+         this->Batches.size() > kMostBatches) {
+    this->Base = this->Batches.front().EndRevision;
+    this->ItemCount -= this->Batches.front().ItemCount;
     this->Batches.pop_front();
   }
 }
 
-void ChangeLog::Clear(const Revision& shown)
+void ChangeLog::Clear(const Revision& newestListed)
 {
   this->Batches.clear();
-  this->Weight = 0;
-  this->Base = std::max(this->Complete, shown);
+  this->ItemCount = 0;
+  this->Base = std::max(this->CompleteRevision, newestListed);
 }
 
-std::optional<ChangeExcerpt> ChangeLog::Since(Revision have) const
+std::optional<ChangeRange> ChangeLog::Since(Revision have) const
 {
-  if (!this->Reaches(have)) {
+  if (!this->Covers(have)) {
     return std::nullopt;
   }
-  ChangeExcerpt excerpt;
-  excerpt.Reached = have;
-  std::size_t weight = 0;
+  ChangeRange range;
+  range.EndRevision = have;
+  std::size_t itemCount = 0;
   for (const Batch& batch : this->Batches) {
-    if (batch.Complete <= have) {
+    if (batch.EndRevision <= have) {
       continue;
     }
-    weight += batch.Weight;
-    if (weight > kHeaviestBatch && !excerpt.Changes.empty()) {
-      return excerpt;
+    itemCount += batch.ItemCount;
+    if (itemCount > kHeaviestBatch && !range.Changes.empty()) {
+      return range;
     }
-    excerpt.Changes.insert(
-      excerpt.Changes.end(), batch.Changes.begin(), batch.Changes.end());
-    excerpt.Reached = batch.Complete;
+    range.Changes.insert(
+      range.Changes.end(), batch.Changes.begin(), batch.Changes.end());
+    range.EndRevision = batch.EndRevision;
   }
-  excerpt.Reached = std::max(have, this->Complete);
-  return excerpt;
+  range.EndRevision = std::max(have, this->CompleteRevision);
+  return range;
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/change_log.h
+++ b/src/core/relay/change_log.h
@@ -13,10 +13,10 @@
 namespace cobaltgauge::core {
 
 /// Some of what a view lacks.
-struct ChangeExcerpt
+struct ChangeRange
 {
   std::vector<StoreChange> Changes;
-  Revision Reached = 0; ///< A view that takes them is complete up to here.
+  Revision EndRevision = 0; ///< A view that takes them is complete up to here.
 };
 
 /** \class ChangeLog
@@ -50,44 +50,45 @@
 
   /// Get what a view complete up to `have` lacks, up to kHeaviestBatch items.
   /// \return nothing where the log does not reach back that far.
-  std::optional<ChangeExcerpt> Since(Revision have) const;
+  std::optional<ChangeRange> Since(Revision have) const;
 
   /// Tell whether Since() can start from `have`.
-  bool Reaches(Revision have) const
+  bool Covers(Revision have) const
   {
-    return this->Complete != 0 && have >= this->Base;
+    return this->CompleteRevision != 0 && have >= this->Base;
   }
 
   /// Get the oldest revision that Since() can start from.
   Revision GetBase() const { return this->Base; }
 
   /// Get the revision up to which the view is complete; zero for no view.
-  Revision GetComplete() const { return this->Complete; }
+  Revision GetCompleteRevision() const { return this->CompleteRevision; }
 
 private:
   struct Batch
   {
-    Revision Complete = 0;
+    Revision EndRevision = 0;
     std::vector<StoreChange> Changes;
-    std::size_t Weight = 0;
+    std::size_t ItemCount = 0;
   };
 
-  /// Forget everything.  \param shown the newest change that was appended.
-  void Clear(const Revision& shown);
+  /// Forget everything.  \param newestListed the newest change that was
+  /// appended.
+  void Clear(const Revision& newestListed);
   /// Add what was collected as batches that are light enough.
-  void AddInParts(std::vector<StoreChange> changes, Revision complete);
+  void AddSplit(std::vector<StoreChange> changes, Revision complete);
   void AddBatch(Batch batch);
   void DropOldest();
 
   std::deque<Batch> Batches;
   std::vector<StoreChange> Pending;
-  Revision NewestPending = 0;
-  std::size_t HeaviestPending = 0; ///< Weight of a single change.
-  std::size_t PendingWeight = 0;
+  Revision NewestPendingRevision = 0;
+  std::size_t LargestPendingChange = 0; ///< ItemCount of a single change.
+  std::size_t PendingItemCount = 0;
   bool Indivisible = false;
-  std::size_t Weight = 0;
+  std::size_t ItemCount = 0;
   Revision Base = 0;
-  Revision Complete = 0;
+  Revision CompleteRevision = 0;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/follower_leases.cc
+++ b/src/core/relay/follower_leases.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "core/constants.h"
-#include "core/relay/nearness.h"
+#include "core/relay/address_proximity.h"
 
 namespace cobaltgauge::core {
 
@@ -12,7 +12,7 @@
                            Time now)
 {
   const bool isFull = this->Leases.size() >= kMostFollowers ||
-    this->CountNearer(follower) >= kFollowersFromAfar;
+    this->CountCloserFollowers(follower) >= kFollowersFromAfar;
   if (isFull && this->Leases.count(follower) == 0) {
     return false;
   }
@@ -22,8 +22,9 @@
 
 void FollowerLeases::Expire(Time now)
 {
-  std::erase_if(this->Leases,
-                [now](const auto& item) { return item.second.Ends <= now; });
+  std::erase_if(this->Leases, [now](const auto& item) {
+    return item.second.ExpiresAt <= now;
+  });
 }
 
 std::vector<Endpoint> FollowerLeases::List() const
@@ -35,7 +36,7 @@
   return list;
 }
 
-std::uint32_t FollowerLeases::CountTree() const
+std::uint32_t FollowerLeases::CountSubtree() const
 {
   std::uint32_t daemons = 1;
   for (const auto& [follower, lease] : this->Leases) {
@@ -44,30 +45,32 @@
   return std::min(daemons, kLargestFleet);
 }
 
-std::size_t FollowerLeases::CountNearer(const Endpoint& asking) const
+std::size_t FollowerLeases::CountCloserFollowers(
+  const Endpoint& requester) const
 {
-  const std::size_t own = CountSharedBytes(this->Self, asking);
+  const std::size_t own = CountCommonPrefixBytes(this->Self, requester);
   return static_cast<std::size_t>(
     std::count_if(this->Leases.begin(),
                   this->Leases.end(),
-                  [&asking, own](const auto& item) {
-                    return item.first != asking &&
-                      CountSharedBytes(item.first, asking) > own;
+                  [&requester, own](const auto& item) {
+                    return item.first != requester &&
+                      CountCommonPrefixBytes(item.first, requester) > own;
                   }));
 }
 
-std::vector<Endpoint> FollowerLeases::NameSome(const Endpoint& asking) const
+std::vector<Endpoint> FollowerLeases::SelectReferrals(
+  const Endpoint& requester) const
 {
-  std::vector<Endpoint> some = this->List();
-  std::erase(some, asking);
-  std::stable_sort(some.begin(),
-                   some.end(),
-                   [&asking](const Endpoint& left, const Endpoint& right) {
-                     return CountSharedBytes(left, asking) >
-                       CountSharedBytes(right, asking);
+  std::vector<Endpoint> referrals = this->List();
+  std::erase(referrals, requester);
+  std::stable_sort(referrals.begin(),
+                   referrals.end(),
+                   [&requester](const Endpoint& left, const Endpoint& right) {
+                     return CountCommonPrefixBytes(left, requester) >
+                       CountCommonPrefixBytes(right, requester);
                    });
-  some.resize(std::min(some.size(), kPeersNamed));
-  return some;
+  referrals.resize(std::min(referrals.size(), kPeersNamed));
+  return referrals;
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/follower_leases.h
+++ b/src/core/relay/follower_leases.h
@@ -40,20 +40,20 @@
   }
   std::size_t Count() const { return this->Leases.size(); }
   /// Count this daemon and all that follow it, directly or not.
-  std::uint32_t CountTree() const;
+  std::uint32_t CountSubtree() const;
   std::vector<Endpoint> List() const;
 
   /// Get some followers whom a daemon may ask instead of this one, those near
   /// it first.
-  std::vector<Endpoint> NameSome(const Endpoint& asking) const;
+  std::vector<Endpoint> SelectReferrals(const Endpoint& requester) const;
 
 private:
-  std::size_t CountNearer(const Endpoint& asking) const;
+  std::size_t CountCloserFollowers(const Endpoint& requester) const;
 
   Endpoint Self;
   struct Lease
   {
-    Time Ends{};
+    Time ExpiresAt{};
     std::uint32_t Daemons = 0;
   };
 
--- a/src/core/relay/followed_history.h
+++ b/src/core/relay/observed_history.h
@@ -15,34 +15,35 @@
   Revision From = 0; ///< The view was complete up to here.
   Revision To = 0;   ///< The listing was; zero: there is no gap.
 
-  bool Contains(const Revision& place) const
+  bool Contains(const Revision& position) const
   {
-    return place > this->From && place < this->To;
+    return position > this->From && position < this->To;
   }
 };
 
-/** \class FollowedHistory
+/** \class ObservedHistory
  * \brief From where on every change was taken, but for the latest gap.
  *
  * Of two gaps the earlier one is not remembered: the history begins behind it
  * then.
  */
-class FollowedHistory
+class ObservedHistory
 {
 public:
   /// A listing began the view.
   void Begin(const Revision& listed) { this->From = listed; }
 
-  /// Something complete up to `place` was taken into a view that may be empty.
-  void BeginIfNew(const Revision& place)
+  /// Something complete up to `position` was taken into a view that may be
+  /// empty.
+  void BeginIfUnset(const Revision& position)
   {
     if (this->From == 0) {
-      this->From = place;
+      this->From = position;
     }
   }
 
   /// The view went on with a listing, its own or a peer's.
-  void Cross(const HistoryGap& gap)
+  void AddGap(const HistoryGap& gap)
   {
     if (gap.To > this->Gap.To) {
       this->From = this->GetBase();
@@ -51,14 +52,14 @@
   }
 
   /// Tell whether all that a view complete up to `have` lacks was taken here.
-  /// One that is complete up to a place in the gap may hold what nobody here
-  /// has seen, so nothing that it lacks can be told.
+  /// One that is complete up to a position in the gap may hold what nobody
+  /// here has seen, so nothing that it lacks can be told.
   bool Covers(const Revision& have) const
   {
     return have >= this->From && !this->Gap.Contains(have);
   }
 
-  /// Get the place from which on every change was taken.
+  /// Get the position from which on every change was taken.
   const Revision& GetBase() const
   {
     return this->Gap.To != 0 ? this->Gap.To : this->From;
--- a/src/core/relay/peer_clocks.cc
+++ b/src/core/relay/peer_clocks.cc
@@ -6,7 +6,7 @@
 
 namespace cobaltgauge::core {
 
-void PeerClocks::Note(const ViewUpdate& update, Time now)
+void PeerClocks::RecordOffset(const ViewUpdate& update, Time now)
 {
   const auto echo = Time(static_cast<Time::rep>(update.echoUs));
   if (update.echoUs == 0 || echo > now || now - echo > kSubscriptionLease) {
@@ -14,31 +14,31 @@
   }
   const std::int64_t offset = static_cast<std::int64_t>(update.echoUs) -
     static_cast<std::int64_t>(update.clockUs);
-  this->Relations[update.sender] = { offset, now };
+  this->Offsets[update.sender] = { offset, now };
 }
 
-std::optional<Time> PeerClocks::GetConfirmation(const ViewUpdate& update,
-                                                Time now) const
+std::optional<Time> PeerClocks::GetConfirmedAt(const ViewUpdate& update,
+                                               Time now) const
 {
-  return this->ToOwn(update.sender, update.confirmedUs, now);
+  return this->ToLocalTime(update.sender, update.confirmedUs, now);
 }
 
-std::optional<Time> PeerClocks::ToOwn(const Endpoint& peer,
-                                      std::uint64_t timeUs,
-                                      Time now) const
+std::optional<Time> PeerClocks::ToLocalTime(const Endpoint& peer,
+                                            std::uint64_t timeUs,
+                                            Time now) const
 {
-  const auto clock = this->Relations.find(peer);
-  if (clock == this->Relations.end()) {
+  const auto entry = this->Offsets.find(peer);
+  if (entry == this->Offsets.end()) {
     return std::nullopt;
   }
   const auto time = static_cast<std::int64_t>(timeUs);
-  return std::min(now, Time(time + clock->second.OffsetUs));
+  return std::min(now, Time(time + entry->second.OffsetUs));
 }
 
 void PeerClocks::Expire(Time now)
 {
-  std::erase_if(this->Relations, [now](const auto& item) {
-    return now - item.second.LearnedAt > kClockMemory;
+  std::erase_if(this->Offsets, [now](const auto& item) {
+    return now - item.second.UpdatedAt > kClockMemory;
   });
 }
 
--- a/src/core/relay/peer_clocks.h
+++ b/src/core/relay/peer_clocks.h
@@ -23,32 +23,31 @@
 {
 public:
   /// Learn from an answer; other updates and late answers tell nothing.
-  void Note(const ViewUpdate& update, Time now);
+  void RecordOffset(const ViewUpdate& update, Time now);
 
   /// Get when the view of an update was confirmed, on this daemon's clock.
   /// \return nothing where the sender's clock is unknown.
-  std::optional<Time> GetConfirmation(const ViewUpdate& update,
-                                      Time now) const;
+  std::optional<Time> GetConfirmedAt(const ViewUpdate& update, Time now) const;
 
   /// Turn a time of a peer's clock into this daemon's; errs early.
   /// \return nothing where the peer's clock is unknown.
-  std::optional<Time> ToOwn(const Endpoint& peer,
-                            std::uint64_t timeUs,
-                            Time now) const;
+  std::optional<Time> ToLocalTime(const Endpoint& peer,
+                                  std::uint64_t timeUs,
+                                  Time now) const;
 
-  void Forget(const Endpoint& peer) { this->Relations.erase(peer); }
+  void Forget(const Endpoint& peer) { this->Offsets.erase(peer); }
 
   /// Forget clocks that were not heard for kClockMemory.
   void Expire(Time now);
 
 private:
-  struct Relation
+  struct ClockOffset
   {
     std::int64_t OffsetUs = 0; ///< Added to the peer's time: not later here.
-    Time LearnedAt{};
+    Time UpdatedAt{};
   };
 
-  std::map<Endpoint, Relation> Relations;
+  std::map<Endpoint, ClockOffset> Offsets;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/relay_timing.h
+++ b/src/core/relay/relay_timing.h
@@ -20,13 +20,13 @@
   Duration AskPeersAfter = kAskPeersAfter;
   Duration SeedReadsAfter = kSeedReadsAfter;
   Duration FollowerReadsAfter = kFollowerReadsAfter;
-  Duration RareTryAfter = kReadBackOffCovered;
+  Duration CoveredRetryInterval = kReadBackOffCovered;
   /// Of what a looser bound leaves, a half goes to waiting for a peer's
   /// changes where the store's history is gone, before everyone lists it all.
-  Duration ListAgainWithin{ 0 };
+  Duration MaxRelistDelay{ 0 };
 
   /// Get the limits for changes that have to be in force within `bound`.
-  static RelayTiming Within(Duration bound)
+  static RelayTiming ForBound(Duration bound)
   {
     const Duration shorter = std::min(bound, kChangesInForce);
     const auto scaled = [shorter](Duration duration) {
--- a/src/core/relay/seed_group.cc
+++ b/src/core/relay/seed_group.cc
@@ -8,7 +8,7 @@
 
 namespace cobaltgauge::core {
 
-void SeedGroup::Set(const std::vector<Endpoint>& seeds)
+void SeedGroup::SetSeeds(const std::vector<Endpoint>& seeds)
 {
   this->Others = seeds;
   this->SelfIsSeed = std::erase(this->Others, this->Self) != 0;
@@ -35,7 +35,7 @@
   if (!this->Contains(update.sender)) {
     return;
   }
-  this->HeardAt = now;
+  this->LastHeardAt = now;
   // Parts and daemons without a view say nothing about the store, and what is
   // no answer may have waited.
   if (update.echoUs == 0 || update.confirmedUs == 0) {
@@ -44,25 +44,26 @@
   const Duration age(static_cast<Duration::rep>(update.clockUs) -
                      static_cast<Duration::rep>(update.confirmedUs));
   const bool isFailing = age >= timing.SeedReadsAfter + kSeedTriesWithin;
-  this->FailedAt = isFailing ? now : Time{};
+  this->StoreFailureAt = isFailing ? now : Time{};
 }
 
 void SeedGroup::OnTick(Time now)
 {
-  if (this->HeardAt == Time{}) {
-    this->HeardAt = now;
+  if (this->LastHeardAt == Time{}) {
+    this->LastHeardAt = now;
   }
 }
 
-bool SeedGroup::IsCovered(Time now) const
+bool SeedGroup::HasReachableSeed(Time now) const
 {
   return !this->SelfIsSeed && !this->Others.empty() &&
-    now - this->HeardAt < kSeedHeardWithin;
+    now - this->LastHeardAt < kSeedHeardWithin;
 }
 
-bool SeedGroup::HasFailed(Time now) const
+bool SeedGroup::IsStoreFailing(Time now) const
 {
-  return this->FailedAt != Time{} && now - this->FailedAt < kSeedHeardWithin;
+  return this->StoreFailureAt != Time{} &&
+    now - this->StoreFailureAt < kSeedHeardWithin;
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/seed_group.h
+++ b/src/core/relay/seed_group.h
@@ -27,7 +27,7 @@
   {
   }
 
-  void Set(const std::vector<Endpoint>& seeds);
+  void SetSeeds(const std::vector<Endpoint>& seeds);
 
   /// Note what a daemon answered; only seeds count.
   void OnUpdate(const ViewUpdate& update, const RelayTiming& timing, Time now);
@@ -49,17 +49,17 @@
   const std::vector<Endpoint>& GetOthers() const { return this->Others; }
 
   /// Tell whether this daemon is none and hears one.
-  bool IsCovered(Time now) const;
+  bool HasReachableSeed(Time now) const;
   /// Tell whether one answered just now that it reads in vain.
-  bool HasFailed(Time now) const;
+  bool IsStoreFailing(Time now) const;
 
 private:
   Endpoint Self;
   std::vector<Endpoint> Others; ///< In the order in which they are asked.
   bool SelfIsSeed = false;
   std::size_t Next = 0;
-  Time HeardAt{};
-  Time FailedAt{}; ///< Zero: the last answer showed a fresh view.
+  Time LastHeardAt{};
+  Time StoreFailureAt{}; ///< Zero: the last answer showed a fresh view.
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/view_fill.h
+++ b/src/core/relay/view_backfill.h
@@ -27,45 +27,47 @@
 namespace cobaltgauge::core {
 
 /// One message on its way to a peer.
-struct OutgoingFill
+struct OutgoingBackfillMessage
 {
   Endpoint Destination;
   std::variant<ViewPageRequest, ViewPage> Message;
 };
 
-/// Counters of a ViewFill; see docs/METRICS.md.
-struct ViewFillCounters
+/// Counters of a ViewBackfill; see docs/METRICS.md.
+struct ViewBackfillCounters
 {
   std::uint64_t RequestsSent = 0;
-  std::uint64_t PagesGiven = 0;
-  std::uint64_t PagesTaken = 0;
-  std::uint64_t Refused = 0; ///< Requests of others with nothing to give.
-  std::uint64_t TooOld = 0;  ///< Pages older than what this view began with.
+  std::uint64_t PagesSent = 0;
+  std::uint64_t PagesApplied = 0;
+  std::uint64_t RequestsRefused =
+    0; ///< Requests of others with nothing to give.
+  std::uint64_t StalePages =
+    0; ///< Pages older than what this view began with.
 };
 
-/// What a ViewFill is told of other daemons.
-struct FillPeers
+/// What a ViewBackfill is told of other daemons.
+struct BackfillPeers
 {
   std::vector<Endpoint> Known; ///< Any that may exist.
   std::vector<Endpoint> Near;  ///< Its upstream, where it follows one.
   std::vector<Endpoint> Seeds; ///< Other daemons that everyone knows of.
   bool IsSeed = false;         ///< This daemon is one that everyone knows of.
-  std::uint32_t Fleet = 1;     ///< Daemons that there are; errs high.
+  std::uint32_t FleetSize = 1; ///< Daemons that there are; errs high.
 };
 
-/** \class ViewFill
+/** \class ViewBackfill
  * \brief Get the missing back ends from peers, else from the store.
  */
-class ViewFill
+class ViewBackfill
 {
 public:
   /// \param self where this daemon takes peer messages.
   /// All references outlive the object.
-  ViewFill(const Endpoint& self,
-           StoreReader& reader,
-           StoreSink& sink,
-           const BackendRegistry& backends,
-           Random& random);
+  ViewBackfill(const Endpoint& self,
+               StoreReader& reader,
+               StoreSink& sink,
+               const BackendRegistry& backends,
+               Random& random);
 
   /// Tell whether a view in use lacks back ends; ticks do nothing else.
   bool IsNeeded() const
@@ -73,28 +75,28 @@
     return this->Reader.isComplete() && !this->Reader.isWhole();
   }
 
-  void OnTick(const FillPeers& peers, Time now);
+  void OnTick(const BackfillPeers& peers, Time now);
   void OnRequest(const ViewPageRequest& request, Time now);
   /// \return whether it added back ends to this daemon's view.
   bool OnPage(const ViewPage& page, Time now);
 
-  std::vector<OutgoingFill> TakeMessages();
-  const ViewFillCounters& GetCounters() const { return this->Counters; }
+  std::vector<OutgoingBackfillMessage> TakeMessages();
+  const ViewBackfillCounters& GetCounters() const { return this->Counters; }
 
 private:
   /// Tell whether a page may be given now.
-  bool MayGive(const ViewPageRequest& request, Time now);
+  bool CanServe(const ViewPageRequest& request, Time now);
   /// Tell whether another daemon with a whole view is nearer to this one.
-  bool KnowsNearer(const Endpoint& peer) const;
-  /// Draw one that is said to have a whole view; there has to be one.
-  const Endpoint& DrawNear();
-  void Give(const ViewPageRequest& request, ViewPage& page, Time now);
-  void Begin(const FillPeers& peers, Time now);
-  void Ask(const Endpoint& peer, Time now);
-  /// Draw a daemon to ask; this one where nobody is known.
-  Endpoint Draw(const FillPeers& peers);
-  void Take(const ViewPage& page, Time now);
-  void NoteWhole(const Endpoint& peer);
+  bool KnowsCloserPeer(const Endpoint& peer) const;
+  /// SelectPeer one that is said to have a whole view; there has to be one.
+  const Endpoint& SelectFullViewPeer();
+  void ServePage(const ViewPageRequest& request, ViewPage& page, Time now);
+  void ScheduleStoreRead(const BackfillPeers& peers, Time now);
+  void SendRequest(const Endpoint& peer, Time now);
+  /// SelectPeer a daemon to ask; this one where nobody is known.
+  Endpoint SelectPeer(const BackfillPeers& peers);
+  void ApplyPage(const ViewPage& page, Time now);
+  void AddFullViewPeer(const Endpoint& peer);
 
   Endpoint Self;
   StoreReader& Reader;
@@ -103,14 +105,15 @@
   Random& RandomSource;
   RankedTokenBucket Allowance;
   /// Daemons that are given pages, with the time of the last one.
-  std::map<Endpoint, Time> Served;
-  std::deque<Endpoint> Whole; ///< Daemons that have whole views, newest last.
-  std::string NextAfter;      ///< Pages up to here were taken.
-  Time AskedAt{};
-  bool MayAskAgain = false; ///< Once for each question at a tick.
-  Time StoreAt{}; ///< When pages are read from the store; zero: not begun.
-  std::vector<OutgoingFill> Outgoing;
-  ViewFillCounters Counters;
+  std::map<Endpoint, Time> Recipients;
+  std::deque<Endpoint>
+    FullViewPeers;     ///< Daemons that have whole views, newest last.
+  std::string LastKey; ///< Pages up to here were taken.
+  Time RequestedAt{};
+  bool MayRetry = false; ///< Once for each question at a tick.
+  Time StoreReadAt{}; ///< When pages are read from the store; zero: not begun.
+  std::vector<OutgoingBackfillMessage> Outgoing;
+  ViewBackfillCounters Counters;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/view_difference.cc
+++ b/src/core/relay/view_difference.cc
@@ -33,10 +33,10 @@
   }
   std::optional<std::vector<StoreChange>> versions =
     this->Routes.deltasSince(have);
-  if (versions && CountRoutes(*versions) <= kMostRoutesTold) {
+  if (versions && CountRoutes(*versions) <= kMaxRelayedRoutes) {
     return versions;
   }
-  if (this->Routes.size() > kMostRoutesTold) {
+  if (this->Routes.size() > kMaxRelayedRoutes) {
     return std::nullopt;
   }
   return std::vector<StoreChange>{
@@ -44,11 +44,12 @@
   };
 }
 
-void ViewDifference::Order(Revision have)
+void ViewDifference::UpdateCache(Revision have)
 {
-  const bool isInStep = this->Cached.IsValid && this->Cached.From <= have &&
+  const bool isCacheValid = this->Cached.IsValid &&
+    this->Cached.From <= have &&
     this->Cached.Generation == this->Backends.generation();
-  if (isInStep) {
+  if (isCacheValid) {
     return;
   }
   RegistryDifference difference = this->Backends.changesSince(have);
@@ -60,54 +61,54 @@
   // They are few, and a listing may have shown their ends.
   for (StoreChange& change :
        this->Backends.evacuations().GetChangesSince(have)) {
-    this->Cached.Undated.push_back(std::move(change));
+    this->Cached.UnorderedChanges.push_back(std::move(change));
   }
-  std::stable_sort(this->Cached.Dated.begin(),
-                   this->Cached.Dated.end(),
+  std::stable_sort(this->Cached.OrderedChanges.begin(),
+                   this->Cached.OrderedChanges.end(),
                    [](const StoreChange& left, const StoreChange& right) {
                      return left.revision < right.revision;
                    });
 }
 
-std::optional<ChangeExcerpt> ViewDifference::Since(Revision have,
-                                                   Revision complete)
+std::optional<ChangeRange> ViewDifference::Since(Revision have,
+                                                 Revision complete)
 {
   std::optional<std::vector<StoreChange>> routes = this->GetRoutesSince(have);
   if (have < this->Backends.forgottenRevision() || !routes) {
     return std::nullopt;
   }
-  this->Order(have);
-  ChangeExcerpt excerpt;
-  excerpt.Reached = std::max(have, complete);
-  for (const StoreChange& change : this->Cached.Undated) {
+  this->UpdateCache(have);
+  ChangeRange range;
+  range.EndRevision = std::max(have, complete);
+  for (const StoreChange& change : this->Cached.UnorderedChanges) {
     if (change.revision > have) {
-      excerpt.Changes.push_back(change);
+      range.Changes.push_back(change);
     }
   }
-  const std::vector<StoreChange>& dated = this->Cached.Dated;
-  auto next = std::upper_bound(dated.begin(),
-                               dated.end(),
+  const std::vector<StoreChange>& ordered = this->Cached.OrderedChanges;
+  auto next = std::upper_bound(ordered.begin(),
+                               ordered.end(),
                                have,
                                [](Revision revision, const StoreChange& item) {
                                  return revision < item.revision;
                                });
-  const std::size_t most =
-    std::max(kHeaviestDifference, excerpt.Changes.size() + 1);
-  for (; next != dated.end(); ++next) {
-    const bool isFull = excerpt.Changes.size() >= most &&
-      next->revision != excerpt.Changes.back().revision;
+  const std::size_t maxItems =
+    std::max(kMaxDifferenceItems, range.Changes.size() + 1);
+  for (; next != ordered.end(); ++next) {
+    const bool isFull = range.Changes.size() >= maxItems &&
+      next->revision != range.Changes.back().revision;
     if (isFull) {
-      excerpt.Reached = excerpt.Changes.back().revision;
+      range.EndRevision = range.Changes.back().revision;
       break;
     }
-    excerpt.Changes.push_back(*next);
+    range.Changes.push_back(*next);
   }
   for (StoreChange& version : *routes) {
-    if (version.revision <= excerpt.Reached) {
-      excerpt.Changes.push_back(std::move(version));
+    if (version.revision <= range.EndRevision) {
+      range.Changes.push_back(std::move(version));
     }
   }
-  return excerpt;
+  return range;
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/view_difference.h
+++ b/src/core/relay/view_difference.h
@@ -22,11 +22,11 @@
 
 /// Items of one part of a difference, about 50 bytes each: as many as a log
 /// holds.
-inline constexpr std::size_t kHeaviestDifference = kHeaviestLog;
+inline constexpr std::size_t kMaxDifferenceItems = kHeaviestLog;
 /// Routes that are told to followers at most, about 90 bytes each: more than
 /// 45 KB to each of 32 followers would hold up callers' packets on a link of
 /// 20 Mbit/s for longer than half a second.  Each daemon reads a larger set.
-inline constexpr std::size_t kMostRoutesTold = 512;
+inline constexpr std::size_t kMaxRelayedRoutes = 512;
 
 /** \class ViewDifference
  * \brief Compare a view with an earlier revision of the store.
@@ -47,11 +47,11 @@
   /// which knows and has told it before.
   /// \param complete up to where this view is complete, and whole.
   /// \return nothing where departures since then have been forgotten, or
-  /// where more than kMostRoutesTold routes would have to be told.
-  std::optional<ChangeExcerpt> Since(Revision have, Revision complete);
+  /// where more than kMaxRelayedRoutes routes would have to be told.
+  std::optional<ChangeRange> Since(Revision have, Revision complete);
 
   /// Get how many pages of the store the view fills.
-  std::size_t CountPages() const
+  std::size_t CountStorePages() const
   {
     return 1 + this->Backends.size() / kItemsOfStorePage;
   }
@@ -60,16 +60,16 @@
   /// The changes since a revision, in order.  Followers that lack much ask
   /// for part after part at the same time: 32 of them would have a hub look
   /// through 10,000 back ends 320 times.
-  struct Ordered
+  struct CachedChanges
   {
     bool IsValid = false;
     std::uint64_t Generation = 0; ///< Of the back ends it was made from.
     Revision From = 0;
-    std::vector<StoreChange> Undated;
-    std::vector<StoreChange> Dated;
+    std::vector<StoreChange> UnorderedChanges;
+    std::vector<StoreChange> OrderedChanges;
   };
 
-  void Order(Revision have);
+  void UpdateCache(Revision have);
   /// Get the versions of the routes after `have`, as what each changed where
   /// that is remembered: a whole set of 250 routes is 25 KB, for each of a
   /// thousand daemons that ask three seeds.
@@ -78,7 +78,7 @@
 
   const BackendRegistry& Backends;
   const RouteTable& Routes;
-  Ordered Cached;
+  CachedChanges Cached;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/view_relay.cc
+++ b/src/core/relay/view_relay.cc
@@ -6,19 +6,19 @@
 #include "core/constants.h"
 #include "core/hashing.h"
 #include "core/load/fleet_load.h"
-#include "core/relay/nearness.h"
+#include "core/relay/address_proximity.h"
 #include "core/route_table.h"
 
 namespace cobaltgauge::core {
 namespace {
 
 /// Ranks of daemons that are no seeds lie behind those of all seeds.
-constexpr std::uint64_t kRankOfOthers = std::uint64_t{ 1 } << 32U;
+constexpr std::uint64_t kNonSeedRankBase = std::uint64_t{ 1 } << 32U;
 
-std::uint64_t RankOf(const Endpoint& endpoint, bool isSeed)
+std::uint64_t ComputeRank(const Endpoint& endpoint, bool isSeed)
 {
-  const std::uint64_t rank = EndpointHash{}(endpoint) & (kRankOfOthers - 1);
-  return isSeed ? rank : kRankOfOthers + rank;
+  const std::uint64_t rank = EndpointHash{}(endpoint) & (kNonSeedRankBase - 1);
+  return isSeed ? rank : kNonSeedRankBase + rank;
 }
 
 } // namespace
@@ -36,7 +36,7 @@
   , Outliers(outliers)
   , RandomSource(random)
   , Seeds(self)
-  , OwnRank(RankOf(self, false))
+  , OwnRank(ComputeRank(self, false))
   , Followers(self)
 {
 }
@@ -47,76 +47,77 @@
   this->Reader.setPace(
     std::chrono::duration_cast<std::chrono::milliseconds>(timing.WatchWait),
     timing.CurrentFor,
-    timing.RareTryAfter);
+    timing.CoveredRetryInterval);
 }
 
 void ViewRelay::SetSeeds(const std::vector<Endpoint>& seeds)
 {
-  this->Seeds.Set(seeds);
-  this->OwnRank = RankOf(this->Self, this->Seeds.IsSelfSeed());
+  this->Seeds.SetSeeds(seeds);
+  this->OwnRank = ComputeRank(this->Self, this->Seeds.IsSelfSeed());
   this->Reader.setCovered(!this->Seeds.IsSelfSeed() &&
                           this->Seeds.HasOthers());
 }
 
-Duration ViewRelay::GetReadLimit() const
+Duration ViewRelay::GetReadThreshold() const
 {
   return this->Seeds.IsSelfSeed() ? this->Timing.SeedReadsAfter
                                   : this->Timing.FollowerReadsAfter;
 }
 
-void ViewRelay::ActivateReader()
+void ViewRelay::UpdateReaderActivity()
 {
   const bool active =
-    this->Reading || this->ReadWanted || this->Reader.isListing();
+    this->Reading || this->ReadRequested || this->Reader.isListing();
   this->Reader.setActive(active);
-  this->Reader.setUrgent(this->ReadWanted);
+  this->Reader.setUrgent(this->ReadRequested);
 }
 
-void ViewRelay::CoverReader(std::size_t peers, Time now)
+void ViewRelay::UpdateReaderBackOff(std::size_t peers, Time now)
 {
   this->Seeds.OnTick(now);
-  const bool isCovered = this->Seeds.IsCovered(now);
+  const bool isCovered = this->Seeds.HasReachableSeed(now);
   this->Reader.setCovered(isCovered);
-  this->Reader.setOthersFail(isCovered && this->Seeds.HasFailed(now)
-                               ? std::optional(this->GetTrySpan(peers))
+  this->Reader.setOthersFail(isCovered && this->Seeds.IsStoreFailing(now)
+                               ? std::optional(this->GetRetryInterval(peers))
                                : std::nullopt);
-  this->Reader.setListPause(this->GetListPause(now));
-  const std::size_t beyondSmall =
+  this->Reader.setListPause(this->GetRelistDelay(now));
+  const std::size_t excessPeers =
     isCovered && peers > kSmallFleetPeers ? peers - kSmallFleetPeers : 0;
   const Duration startBackOff = std::min<Duration>(
-    kReadBackOffAtStart + kStartTryForEachPeer * beyondSmall,
+    kReadBackOffAtStart + kStartTryForEachPeer * excessPeers,
     kReadBackOffLongest);
   this->Reader.setStartBackOff(startBackOff);
 }
 
-Duration ViewRelay::GetListPause(Time now) const
+Duration ViewRelay::GetRelistDelay(Time now) const
 {
   // Who follows a follower has not heard a seed of late, and can all the same.
-  const bool othersList = this->Difference != nullptr &&
+  const bool hasOtherReaders = this->Difference != nullptr &&
     !this->Seeds.IsSelfSeed() && this->Seeds.HasOthers();
-  if (!othersList) {
+  if (!hasOtherReaders) {
     return Duration{ 0 };
   }
-  const std::size_t pages = this->Difference->CountPages();
-  return std::min<Duration>(kListSpread * pages * this->Fleet.Get(now),
-                            this->Timing.ListAgainWithin);
+  const std::size_t pages = this->Difference->CountStorePages();
+  return std::min<Duration>(kListSpread * pages * this->Fleet.GetEstimate(now),
+                            this->Timing.MaxRelistDelay);
 }
 
-Duration ViewRelay::GetTrySpan(std::size_t peers) const
+Duration ViewRelay::GetRetryInterval(std::size_t peers) const
 {
-  return std::clamp<Duration>(
-    kTryForEachPeer * peers, this->Timing.RareTryAfter, kLongestTrySpan);
+  return std::clamp<Duration>(kTryForEachPeer * peers,
+                              this->Timing.CoveredRetryInterval,
+                              kLongestTrySpan);
 }
 
-void ViewRelay::BeginReading(std::size_t peers, Time now)
+void ViewRelay::StartReading(std::size_t peers, Time now)
 {
   this->Reading = true;
-  ++this->Counters.ReadingBegan;
+  ++this->Counters.ReadsStarted;
   if (!this->Reader.areOthersFailing()) {
     return;
   }
   const Duration span = std::min<Duration>(kFirstTryForEachPeer * peers,
-                                           this->Timing.RareTryAfter);
+                                           this->Timing.CoveredRetryInterval);
   const auto wait =
     this->RandomSource.below(static_cast<std::uint64_t>(span.count()) + 1);
   this->Reader.putOff(now + Duration(static_cast<Duration::rep>(wait)));
@@ -127,107 +128,109 @@
   this->Followers.Expire(now);
   this->Clocks.Expire(now);
   if (this->Reading && this->Seeds.IsSelfSeed()) {
-    this->Fleet.OnHeard(this->Followers.CountTree(), now);
+    this->Fleet.OnCount(this->Followers.CountSubtree(), now);
   }
   const Duration age = now - this->Reader.confirmedAt();
   if (this->Upstream && age >= this->Timing.AskPeersAfter) {
     this->StopFollowing();
   }
-  this->CoverReader(peers.size(), now);
-  if (!this->Reading && age >= this->GetReadLimit()) {
-    this->BeginReading(peers.size(), now);
+  this->UpdateReaderBackOff(peers.size(), now);
+  if (!this->Reading && age >= this->GetReadThreshold()) {
+    this->StartReading(peers.size(), now);
   }
-  this->ActivateReader();
+  this->UpdateReaderActivity();
   this->ReportOutliers(now);
   this->ShareLoad(peers, now);
-  if (now < this->NextAskAt || this->Leaving) {
+  if (now < this->NextQueryAt || this->Leaving) {
     return;
   }
   if (this->Upstream) {
-    this->NextAskAt = now + kRenewEvery;
-    this->Subscribe(*this->Upstream, now);
+    this->NextQueryAt = now + kRenewEvery;
+    this->SendSubscription(*this->Upstream, now);
     return;
   }
-  const bool isContent =
+  const bool isCurrentSeed =
     this->Seeds.IsSelfSeed() && this->Reader.isCurrent(now);
-  if (!this->MayCatchUpByPeers()) {
-    this->NextAskAt = now + (isContent ? kSeedAsksEvery : kAskPeersEvery);
+  if (!this->CanCatchUpFromPeers()) {
+    this->NextQueryAt =
+      now + (isCurrentSeed ? kSeedAsksEvery : kAskPeersEvery);
   }
-  this->Ask(peers, now);
+  this->QueryPeers(peers, now);
 }
 
-void ViewRelay::Ask(const std::vector<Endpoint>& peers, Time now)
+void ViewRelay::QueryPeers(const std::vector<Endpoint>& peers, Time now)
 {
-  this->AskSeed(now);
+  this->QuerySeed(now);
   const std::vector<Endpoint>& others =
-    this->Referred.empty() ? peers : this->Referred;
+    this->Referrals.empty() ? peers : this->Referrals;
   if (!others.empty()) {
-    const Endpoint& other = this->DrawNear(others);
+    const Endpoint& other = this->SelectNearbyPeer(others);
     if (other != this->Self) {
-      this->Subscribe(other, now);
+      this->SendSubscription(other, now);
     }
   }
 }
 
-const Endpoint& ViewRelay::DrawNear(const std::vector<Endpoint>& daemons)
+const Endpoint& ViewRelay::SelectNearbyPeer(
+  const std::vector<Endpoint>& daemons)
 {
-  const auto draw = [this, &daemons]() -> const Endpoint& {
+  const auto selectRandom = [this, &daemons]() -> const Endpoint& {
     return daemons[this->RandomSource.below(daemons.size())];
   };
-  const Endpoint* nearest = &draw();
+  const Endpoint* nearest = &selectRandom();
   for (std::size_t i = 1; i < kPeersCompared; ++i) {
-    const Endpoint& other = draw();
-    const bool isNearer = CountSharedBytes(other, this->Self) >
-      CountSharedBytes(*nearest, this->Self);
+    const Endpoint& other = selectRandom();
+    const bool isNearer = CountCommonPrefixBytes(other, this->Self) >
+      CountCommonPrefixBytes(*nearest, this->Self);
     nearest = isNearer && other != this->Self ? &other : nearest;
   }
   return *nearest;
 }
 
-void ViewRelay::AskSeed(Time now)
+void ViewRelay::QuerySeed(Time now)
 {
   if (this->Seeds.HasOthers()) {
-    this->Subscribe(this->Seeds.GetNext(), now);
+    this->SendSubscription(this->Seeds.GetNext(), now);
   }
 }
 
-void ViewRelay::Subscribe(const Endpoint& destination, Time now)
+void ViewRelay::SendSubscription(const Endpoint& destination, Time now)
 {
   ++this->Counters.SubscriptionsSent;
   const auto sentAt = static_cast<std::uint64_t>(now.count());
   const std::uint32_t daemons =
-    this->Upstream == destination ? this->Followers.CountTree() : 0;
+    this->Upstream == destination ? this->Followers.CountSubtree() : 0;
   this->Outgoing.push_back(
     { { destination },
       ViewSubscription{
         this->Self, this->Reader.revision(), sentAt, daemons } });
 }
 
-void ViewRelay::OnStoreAnswer(Time now)
+void ViewRelay::OnStoreReply(Time now)
 {
   if (this->Reader.isComplete()) {
     this->Log.Close(this->Reader.revision());
   } else if (this->Reader.isCatchingUp()) {
     this->Log.Begin(this->Reader.revision());
   }
-  if (this->MayCatchUpByPeers()) {
+  if (this->CanCatchUpFromPeers()) {
     this->Reader.putOff(now + kCatchUpFromPeers);
-    this->AskSeed(now);
+    this->QuerySeed(now);
   }
-  if (this->Reader.confirmedAt() > this->LastConfirmed) {
-    const bool isFirst = this->LastConfirmed == Time{};
-    this->LastConfirmed = this->Reader.confirmedAt();
+  if (this->Reader.confirmedAt() > this->LastConfirmedAt) {
+    const bool isFirst = this->LastConfirmedAt == Time{};
+    this->LastConfirmedAt = this->Reader.confirmedAt();
     this->ViewRank = this->OwnRank;
-    this->ReadWanted = false;
+    this->ReadRequested = false;
     if (isFirst) {
-      this->AskSeed(now);
+      this->QuerySeed(now);
     }
   }
-  this->ActivateReader();
-  this->PushNews(now);
+  this->UpdateReaderActivity();
+  this->PushIfChanged(now);
 }
 
-bool ViewRelay::MayCatchUpByPeers() const
+bool ViewRelay::CanCatchUpFromPeers() const
 {
   return this->Reader.isCatchingUp() && !this->Reader.isFailing() &&
     !this->Reader.isViewWanted();
@@ -236,33 +239,33 @@
 void ViewRelay::StopFollowing()
 {
   this->Upstream.reset();
-  this->NextAskAt = Time{};
+  this->NextQueryAt = Time{};
 }
 
 void ViewRelay::OnResume()
 {
-  this->ReadWanted = true;
+  this->ReadRequested = true;
   if (this->Load != nullptr) {
     this->Load->OnResume();
   }
   this->StopFollowing();
-  this->ActivateReader();
+  this->UpdateReaderActivity();
 }
 
 void ViewRelay::Leave()
 {
   this->Leaving = true;
-  ViewUpdate farewell;
-  farewell.sender = this->Self;
-  farewell.leaving = true;
+  ViewUpdate leaveNotice;
+  leaveNotice.sender = this->Self;
+  leaveNotice.leaving = true;
   std::vector<Endpoint> destinations = this->Followers.List();
   this->Followers.Clear();
   if (!destinations.empty()) {
-    this->Outgoing.push_back({ std::move(destinations), farewell });
+    this->Outgoing.push_back({ std::move(destinations), leaveNotice });
   }
 }
 
-std::vector<OutgoingRelay> ViewRelay::TakeMessages()
+std::vector<OutgoingRelayMessage> ViewRelay::TakeMessages()
 {
   return std::exchange(this->Outgoing, {});
 }
--- a/src/core/relay/view_relay.h
+++ b/src/core/relay/view_relay.h
@@ -19,7 +19,7 @@
 #include "core/outlier/outlier_detector.h"
 #include "core/random.h"
 #include "core/relay/change_log.h"
-#include "core/relay/fleet_count.h"
+#include "core/relay/fleet_size_estimator.h"
 #include "core/relay/follower_leases.h"
 #include "core/relay/peer_clocks.h"
 #include "core/relay/relay_timing.h"
@@ -33,7 +33,7 @@
 class FleetLoad;
 
 /// One message on its way to some peers.
-struct OutgoingRelay
+struct OutgoingRelayMessage
 {
   std::vector<Endpoint> Destinations;
   std::variant<ViewSubscription,
@@ -47,7 +47,7 @@
 /// What became of an update.
 enum class UpdateOutcome : std::uint8_t
 {
-  kTaken,     ///< It changed the view.
+  kApplied,   ///< It changed the view.
   kConfirmed, ///< The view was up to date; its age is known anew.
   kGap,       ///< The view lacks what the update builds on.
   kUnusable,  ///< It says nothing about the view, or its age is unknown.
@@ -57,10 +57,10 @@
 struct ViewRelayCounters
 {
   std::uint64_t UpdatesSent = 0;
-  std::uint64_t UpdatesTaken = 0;
+  std::uint64_t UpdatesApplied = 0;
   std::uint64_t Gaps = 0;
   std::uint64_t SubscriptionsSent = 0;
-  std::uint64_t ReadingBegan = 0;
+  std::uint64_t ReadsStarted = 0;
 };
 
 /** \class ViewRelay
@@ -94,13 +94,13 @@
   void OnTick(const std::vector<Endpoint>& peers, Time now);
 
   /// Call after the reader took an answer of the store.
-  void OnStoreAnswer(Time now);
+  void OnStoreReply(Time now);
 
   void OnSubscription(const ViewSubscription& subscription, Time now);
   UpdateOutcome OnUpdate(const ViewUpdate& update, Time now);
 
   /// Take what another daemon has observed; seeds decide by it.
-  void OnReport(const OutlierReport& report, Time now);
+  void OnOutlierReport(const OutlierReport& report, Time now);
 
   /// \param load told of the tree of followers, and what it tells is passed
   /// on; outlives the relay.  Null: none.
@@ -116,7 +116,7 @@
   void OnLoadSummary(const LoadSummary& summary, Time now);
 
   /// Take the back ends that this daemon has found to be outliers, for logs.
-  std::vector<BackendId> TakeFoundOutliers();
+  std::vector<BackendId> TakeDetectedOutliers();
 
   /// Call after the process was suspended: its view may be old.
   void OnResume();
@@ -124,7 +124,7 @@
   /// Tell the followers to look for another daemon; this one stops.
   void Leave();
 
-  std::vector<OutgoingRelay> TakeMessages();
+  std::vector<OutgoingRelayMessage> TakeMessages();
 
   /// Tell whether this daemon reads the store rather than follow a peer.
   bool IsReading() const { return this->Reading; }
@@ -138,44 +138,47 @@
   /// Get the daemon that is followed, if any.
   const std::optional<Endpoint>& GetUpstream() const { return this->Upstream; }
   /// Get how many daemons there are; errs high.
-  std::uint32_t CountFleet(Time now) const { return this->Fleet.Get(now); }
+  std::uint32_t GetFleetSize(Time now) const
+  {
+    return this->Fleet.GetEstimate(now);
+  }
   /// Get the daemons that follow this one, and the one that it follows.
   std::vector<Endpoint> GetNeighbours() const;
   std::size_t CountFollowers() const { return this->Followers.Count(); }
   const ViewRelayCounters& GetCounters() const { return this->Counters; }
 
 private:
-  bool Apply(const ViewUpdate& update, Time now);
-  void Follow(const ViewUpdate& update, Time now);
+  bool ApplyUpdate(const ViewUpdate& update, Time now);
+  void FollowSender(const ViewUpdate& update, Time now);
   void StopFollowing();
-  void ActivateReader();
+  void UpdateReaderActivity();
   /// Tell what a view complete up to `have` lacks, by the log or by the view.
-  std::optional<ChangeExcerpt> GetChangesSince(Revision have) const;
+  std::optional<ChangeRange> GetChangesSince(Revision have) const;
   /// Let the reader rest while seeds try a store that fails.
-  void CoverReader(std::size_t peers, Time now);
+  void UpdateReaderBackOff(std::size_t peers, Time now);
   /// Get how long a view without history waits at most for a peer's changes.
-  Duration GetListPause(Time now) const;
+  Duration GetRelistDelay(Time now) const;
   /// Get how long to leave between tries while seeds read in vain.
-  Duration GetTrySpan(std::size_t peers) const;
-  Duration GetReadLimit() const;
+  Duration GetRetryInterval(std::size_t peers) const;
+  Duration GetReadThreshold() const;
   /// Read the store from now on, since no peer's view is fresh.
-  void BeginReading(std::size_t peers, Time now);
+  void StartReading(std::size_t peers, Time now);
   /// Tell whether a stale first listing can wait for a seed.
-  bool MayCatchUpByPeers() const;
-  void Ask(const std::vector<Endpoint>& peers, Time now);
-  void AskSeed(Time now);
+  bool CanCatchUpFromPeers() const;
+  void QueryPeers(const std::vector<Endpoint>& peers, Time now);
+  void QuerySeed(Time now);
   /// Draw a daemon that is near, as far as a few draws give one.
-  const Endpoint& DrawNear(const std::vector<Endpoint>& daemons);
-  /// Ask for what an update left out, once for each revision; a daemon that
-  /// has no whole view yet reads it from the store.
-  void AskForMissing(const Endpoint& sender, Time now);
-  void Subscribe(const Endpoint& destination, Time now);
-  ViewUpdate Describe(Revision have, Time now) const;
+  const Endpoint& SelectNearbyPeer(const std::vector<Endpoint>& daemons);
+  /// QueryPeers for what an update left out, once for each revision; a daemon
+  /// that has no whole view yet reads it from the store.
+  void RequestMissingChanges(const Endpoint& sender, Time now);
+  void SendSubscription(const Endpoint& destination, Time now);
+  ViewUpdate MakeUpdate(Revision have, Time now) const;
   /// Tell the followers, where there is something to tell.
-  void PushNews(Time now);
-  void Push(Time now);
+  void PushIfChanged(Time now);
+  void PushUpdate(Time now);
   void ReportOutliers(Time now);
-  bool IsDecider(const Endpoint& sender) const;
+  bool IsOutlierAuthority(const Endpoint& sender) const;
   /// Tell the daemon that is followed, and the followers, what is due.
   void ShareLoad(const std::vector<Endpoint>& peers, Time now);
   void SendLoad(Time now);
@@ -187,27 +190,27 @@
   OutlierDetector& Outliers;
   Random& RandomSource;
   SeedGroup Seeds;
-  std::vector<Endpoint> Referred;
+  std::vector<Endpoint> Referrals;
   RelayTiming Timing;
   std::uint64_t OwnRank = 0;
   std::uint64_t ViewRank = 0; ///< Of the reader that confirmed the view last.
   bool Reading = true;
-  bool ReadWanted = false; ///< Once, though a peer is followed.
+  bool ReadRequested = false; ///< Once, though a peer is followed.
   bool Leaving = false;
   std::optional<Endpoint> Upstream;
   FollowerLeases Followers;
-  FleetCount Fleet;
+  FleetSizeEstimator Fleet;
   PeerClocks Clocks;
   FleetLoad* Load = nullptr;
   ViewDifference* Difference = nullptr;
-  Time NextAskAt{};
-  Time MissingAskedAt{};
-  Revision MissingAskedFrom = 0;
-  Time LastConfirmed{};
-  Time LastPushConfirmed{};
-  Revision LastPushed = 0;
-  std::vector<BackendId> FoundOutliers;
-  std::vector<OutgoingRelay> Outgoing;
+  Time NextQueryAt{};
+  Time MissingRequestedAt{};
+  Revision MissingRequestedFrom = 0;
+  Time LastConfirmedAt{};
+  Time LastPushConfirmedAt{};
+  Revision LastPushedRevision = 0;
+  std::vector<BackendId> DetectedOutliers;
+  std::vector<OutgoingRelayMessage> Outgoing;
   ViewRelayCounters Counters;
 };
 
--- a/src/core/relay/view_relay_followers.cc
+++ b/src/core/relay/view_relay_followers.cc
@@ -10,9 +10,9 @@
 
 void ViewRelay::OnSubscription(const ViewSubscription& subscription, Time now)
 {
-  ViewUpdate reply = this->Describe(subscription.have, now);
+  ViewUpdate reply = this->MakeUpdate(subscription.have, now);
   reply.echoUs = subscription.sentAtUs;
-  reply.peers = this->Followers.NameSome(subscription.replyTo);
+  reply.peers = this->Followers.SelectReferrals(subscription.replyTo);
   if (!this->Leaving) {
     reply.full =
       !this->Followers.Grant(subscription.replyTo, subscription.daemons, now);
@@ -21,7 +21,7 @@
   this->Outgoing.push_back({ { subscription.replyTo }, std::move(reply) });
 }
 
-ViewUpdate ViewRelay::Describe(Revision have, Time now) const
+ViewUpdate ViewRelay::MakeUpdate(Revision have, Time now) const
 {
   ViewUpdate update;
   update.sender = this->Self;
@@ -29,22 +29,22 @@
   update.leaving = this->Leaving;
   update.outliers = this->Outliers.GetOutliers();
   // The tree of a reader that is no seed may be one of many.
-  const bool isCounted = !this->Reading || this->Seeds.IsSelfSeed();
-  update.daemons = isCounted ? this->Fleet.GetLatest() : 0;
+  const bool isFleetSizeKnown = !this->Reading || this->Seeds.IsSelfSeed();
+  update.daemons = isFleetSizeKnown ? this->Fleet.GetLatestCount() : 0;
   if (!this->Reader.isComplete()) {
     return update;
   }
   const auto confirmed = this->Reader.confirmedAt().count();
   update.confirmedUs = static_cast<std::uint64_t>(confirmed);
   update.readerRank = this->ViewRank;
-  update.revision = this->Log.GetComplete();
+  update.revision = this->Log.GetCompleteRevision();
   // Without the changes it only says how old a view of this revision is.
   update.from = update.revision;
-  if (const auto excerpt = this->GetChangesSince(have)) {
+  if (const auto range = this->GetChangesSince(have)) {
     update.from = std::min(have, update.revision);
-    addToUpdate(excerpt->Changes, update);
-    if (excerpt->Reached < update.revision) {
-      update.revision = excerpt->Reached;
+    addToUpdate(range->Changes, update);
+    if (range->EndRevision < update.revision) {
+      update.revision = range->EndRevision;
       update.confirmedUs = 0;
     }
   }
@@ -55,16 +55,17 @@
   return update;
 }
 
-std::optional<ChangeExcerpt> ViewRelay::GetChangesSince(Revision have) const
+std::optional<ChangeRange> ViewRelay::GetChangesSince(Revision have) const
 {
   if (!this->Reader.history().Covers(have)) {
     return std::nullopt;
   }
-  std::optional<ChangeExcerpt> excerpt = this->Log.Since(have);
-  const bool byView =
-    !excerpt && this->Difference != nullptr && this->Reader.canTellSince(have);
-  return byView ? this->Difference->Since(have, this->Log.GetComplete())
-                : excerpt;
+  std::optional<ChangeRange> range = this->Log.Since(have);
+  const bool isFromView =
+    !range && this->Difference != nullptr && this->Reader.canTellSince(have);
+  return isFromView
+    ? this->Difference->Since(have, this->Log.GetCompleteRevision())
+    : range;
 }
 
 std::vector<Endpoint> ViewRelay::GetNeighbours() const
@@ -76,16 +77,17 @@
   return neighbours;
 }
 
-void ViewRelay::PushNews(Time now)
+void ViewRelay::PushIfChanged(Time now)
 {
-  const bool isNews = this->Log.GetComplete() > this->LastPushed ||
-    this->Reader.confirmedAt() - this->LastPushConfirmed >= kLeastPushGap;
-  if (isNews) {
-    this->Push(now);
+  const bool hasChanges =
+    this->Log.GetCompleteRevision() > this->LastPushedRevision ||
+    this->Reader.confirmedAt() - this->LastPushConfirmedAt >= kLeastPushGap;
+  if (hasChanges) {
+    this->PushUpdate(now);
   }
 }
 
-void ViewRelay::Push(Time now)
+void ViewRelay::PushUpdate(Time now)
 {
   if (!this->Reader.isComplete() || this->Leaving) {
     return;
@@ -94,10 +96,11 @@
   if (!destinations.empty()) {
     this->Counters.UpdatesSent += destinations.size();
     this->Outgoing.push_back(
-      { std::move(destinations), this->Describe(this->LastPushed, now) });
+      { std::move(destinations),
+        this->MakeUpdate(this->LastPushedRevision, now) });
   }
-  this->LastPushed = this->Log.GetComplete();
-  this->LastPushConfirmed = this->Reader.confirmedAt();
+  this->LastPushedRevision = this->Log.GetCompleteRevision();
+  this->LastPushConfirmedAt = this->Reader.confirmedAt();
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/view_relay_load.cc
+++ b/src/core/relay/view_relay_load.cc
@@ -12,10 +12,11 @@
   }
   // The tree of a reader that is no seed may be one of many, and a seed that
   // the store fails has none.
-  const bool isAlone = peers.empty() && !this->Seeds.HasOthers();
+  const bool hasNoPeers = peers.empty() && !this->Seeds.HasOthers();
   const bool isRoot = this->Reading &&
-    (isAlone || (this->Seeds.IsSelfSeed() && this->Reader.isCurrent(now)));
-  this->Load->OnTick({ this->Upstream, isRoot, this->Fleet.GetLatest() }, now);
+    (hasNoPeers || (this->Seeds.IsSelfSeed() && this->Reader.isCurrent(now)));
+  this->Load->OnTick({ this->Upstream, isRoot, this->Fleet.GetLatestCount() },
+                     now);
   this->SendLoad(now);
 }
 
@@ -25,10 +26,10 @@
     return;
   }
   // Between two ticks the daemon that is followed may have been given up.
-  const bool isInStep =
+  const bool isUpstreamCurrent =
     this->Upstream && this->Load->GetUpstream() == this->Upstream;
   std::optional<LoadReport> report =
-    isInStep ? this->Load->TakeReport(now) : std::nullopt;
+    isUpstreamCurrent ? this->Load->TakeReport(now) : std::nullopt;
   if (report) {
     this->Outgoing.push_back({ { *this->Upstream }, std::move(*report) });
   }
@@ -51,7 +52,7 @@
 void ViewRelay::OnLoadSummary(const LoadSummary& summary, Time now)
 {
   const std::optional<Time> sentAt =
-    this->Clocks.ToOwn(summary.sender, summary.sentAtUs, now);
+    this->Clocks.ToLocalTime(summary.sender, summary.sentAtUs, now);
   if (this->Load != nullptr && sentAt) {
     this->Load->OnSummary(summary, *sentAt, now);
     this->SendLoad(now);
--- a/src/core/relay/view_relay_outliers.cc
+++ b/src/core/relay/view_relay_outliers.cc
@@ -16,28 +16,28 @@
   if (this->Seeds.HasOthers()) {
     this->Outgoing.push_back({ this->Seeds.GetOthers(), report });
   }
-  this->OnReport(report, now);
+  this->OnOutlierReport(report, now);
 }
 
-void ViewRelay::OnReport(const OutlierReport& report, Time now)
+void ViewRelay::OnOutlierReport(const OutlierReport& report, Time now)
 {
   if (!this->Seeds.IsSelfSeed()) {
     return;
   }
   const std::vector<BackendId> found = this->Outliers.Decide(report, now);
-  this->FoundOutliers.insert(
-    this->FoundOutliers.end(), found.begin(), found.end());
+  this->DetectedOutliers.insert(
+    this->DetectedOutliers.end(), found.begin(), found.end());
   if (!found.empty()) {
-    this->Push(now);
+    this->PushUpdate(now);
   }
 }
 
-std::vector<BackendId> ViewRelay::TakeFoundOutliers()
+std::vector<BackendId> ViewRelay::TakeDetectedOutliers()
 {
-  return std::exchange(this->FoundOutliers, {});
+  return std::exchange(this->DetectedOutliers, {});
 }
 
-bool ViewRelay::IsDecider(const Endpoint& sender) const
+bool ViewRelay::IsOutlierAuthority(const Endpoint& sender) const
 {
   return !this->Seeds.IsSelfSeed() &&
     (this->Seeds.Contains(sender) || this->Upstream == sender);
--- a/src/core/relay/view_relay_updates.cc
+++ b/src/core/relay/view_relay_updates.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Tell whether an update holds only some of what its receiver lacks.
-bool IsPart(const ViewUpdate& update)
+bool IsPartial(const ViewUpdate& update)
 {
   return update.revision != 0 && update.confirmedUs == 0;
 }
@@ -26,18 +26,18 @@
     return UpdateOutcome::kUnusable;
   }
   if (update.full) {
-    this->Referred = update.peers;
+    this->Referrals = update.peers;
   }
   this->Seeds.OnUpdate(update, this->Timing, now);
-  if (this->IsDecider(update.sender)) {
+  if (this->IsOutlierAuthority(update.sender)) {
     this->Outliers.Adopt(update.outliers, now);
   }
-  this->Clocks.Note(update, now);
+  this->Clocks.RecordOffset(update, now);
   if (this->Load != nullptr && this->Upstream == update.sender) {
     this->Load->OnUpstreamClock(update.clockUs, now);
   }
   const std::optional<Time> confirmed =
-    this->Clocks.GetConfirmation(update, now);
+    this->Clocks.GetConfirmedAt(update, now);
   if (!confirmed || update.revision == 0) {
     return UpdateOutcome::kUnusable;
   }
@@ -49,40 +49,40 @@
     }
     return UpdateOutcome::kUnusable;
   }
-  if (!this->Apply(update, now)) {
+  if (!this->ApplyUpdate(update, now)) {
     ++this->Counters.Gaps;
     // A lost update is asked for; what the peer lacks too, the store has.
     if (update.echoUs == 0) {
-      this->AskForMissing(update.sender, now);
+      this->RequestMissingChanges(update.sender, now);
     } else {
-      this->ReadWanted = true;
-      this->ActivateReader();
+      this->ReadRequested = true;
+      this->UpdateReaderActivity();
     }
     return UpdateOutcome::kGap;
   }
-  if (!IsPart(update)) {
+  if (!IsPartial(update)) {
     this->Reader.confirm(*confirmed);
   }
   if (update.daemons != 0) {
-    this->Fleet.OnHeard(update.daemons, now);
+    this->Fleet.OnCount(update.daemons, now);
   }
-  if (this->Reader.confirmedAt() > this->LastConfirmed) {
-    this->LastConfirmed = this->Reader.confirmedAt();
+  if (this->Reader.confirmedAt() > this->LastConfirmedAt) {
+    this->LastConfirmedAt = this->Reader.confirmedAt();
     this->ViewRank = update.readerRank;
   }
-  this->Follow(update, now);
-  this->PushNews(now);
+  this->FollowSender(update, now);
+  this->PushIfChanged(now);
   if (this->Reader.revision() == before) {
     return UpdateOutcome::kConfirmed;
   }
-  ++this->Counters.UpdatesTaken;
-  if (IsPart(update)) {
-    this->AskForMissing(update.sender, now);
+  ++this->Counters.UpdatesApplied;
+  if (IsPartial(update)) {
+    this->RequestMissingChanges(update.sender, now);
   }
-  return UpdateOutcome::kTaken;
+  return UpdateOutcome::kApplied;
 }
 
-bool ViewRelay::Apply(const ViewUpdate& update, Time now)
+bool ViewRelay::ApplyUpdate(const ViewUpdate& update, Time now)
 {
   const Revision have = this->Reader.revision();
   if (!this->Reader.takesChanges() || have < update.from) {
@@ -101,7 +101,7 @@
     }
   }
   this->Reader.adoptGap(update.gap);
-  if (IsPart(update)) {
+  if (IsPartial(update)) {
     this->Reader.advance(update.revision);
   } else {
     this->Reader.adopt(update.revision);
@@ -110,38 +110,38 @@
   return true;
 }
 
-void ViewRelay::Follow(const ViewUpdate& update, Time now)
+void ViewRelay::FollowSender(const ViewUpdate& update, Time now)
 {
   const bool isFresh =
     now - this->Reader.confirmedAt() < this->Timing.AskPeersAfter;
-  const bool isBefore = update.readerRank < this->OwnRank;
-  if (!isFresh || (!isBefore && !this->Reader.isFailing())) {
+  const bool isRankedHigher = update.readerRank < this->OwnRank;
+  if (!isFresh || (!isRankedHigher && !this->Reader.isFailing())) {
     return;
   }
   this->Reading = false;
-  this->ActivateReader();
+  this->UpdateReaderActivity();
   if (!update.full && !this->Upstream) {
     this->Upstream = update.sender;
-    this->Referred.clear();
-    this->NextAskAt = now + kRenewEvery;
+    this->Referrals.clear();
+    this->NextQueryAt = now + kRenewEvery;
   }
 }
 
-void ViewRelay::AskForMissing(const Endpoint& sender, Time now)
+void ViewRelay::RequestMissingChanges(const Endpoint& sender, Time now)
 {
   // A fleet that starts would get most of the store's items from three seeds.
   if (!this->Reader.isComplete()) {
-    this->ReadWanted = true;
-    this->ActivateReader();
+    this->ReadRequested = true;
+    this->UpdateReaderActivity();
     return;
   }
   const Revision have = this->Reader.revision();
-  const bool isAsked = have == this->MissingAskedFrom &&
-    now - this->MissingAskedAt < kAskPeersEvery;
-  if (!isAsked) {
-    this->MissingAskedFrom = have;
-    this->MissingAskedAt = now;
-    this->Subscribe(sender, now);
+  const bool isRequested = have == this->MissingRequestedFrom &&
+    now - this->MissingRequestedAt < kAskPeersEvery;
+  if (!isRequested) {
+    this->MissingRequestedFrom = have;
+    this->MissingRequestedAt = now;
+    this->SendSubscription(sender, now);
   }
 }
 
--- a/src/core/store_reader.cc
+++ b/src/core/store_reader.cc
@@ -164,7 +164,7 @@
 
 void StoreReader::noteGapBefore(Revision listed) {
   if (complete_) {
-    history_.Cross({revision_, listed});
+    history_.AddGap({revision_, listed});
   } else {
     history_.Begin(listed);
   }
@@ -172,7 +172,7 @@
 
 void StoreReader::adoptGap(const HistoryGap& gap) {
   if (gap.To > revision_) {
-    history_.Cross(gap);
+    history_.AddGap(gap);
   }
 }
 
@@ -310,7 +310,7 @@
   const bool wasInUse = complete_;
   advance(revision);
   complete_ = true;
-  history_.BeginIfNew(revision);
+  history_.BeginIfUnset(revision);
   if (!isReading() && !wasInUse) {
     listing_ = false;
     clearListing();
--- a/src/core/store_reader.h
+++ b/src/core/store_reader.h
@@ -33,7 +33,7 @@
 #include "core/listing_plan.h"
 #include "core/random.h"
 #include "core/registration.h"
-#include "core/relay/followed_history.h"
+#include "core/relay/observed_history.h"
 #include "core/store_read.h"
 #include "core/types.h"
 
@@ -162,7 +162,7 @@
   /// @return true where a complete view holds every back end.
   bool isWhole() const { return complete_ && whole_; }
   /// @return which part of the store's history this view has followed.
-  const FollowedHistory& history() const { return history_; }
+  const ObservedHistory& history() const { return history_; }
   /// @return the revision from which on every change was taken; zero where nothing was listed.
   Revision baseRevision() const { return history_.GetBase(); }
   /// @return true where this view shows all that a view complete up to `have` lacks.
@@ -259,7 +259,7 @@
   Revision watchedFrom_ = 0;  ///< Base of the watch that is under way, or was last.
   Revision revision_ = 0;     ///< Changes up to this one are known; base of the next watch.
   Revision listedAt_ = 0;     ///< Of the listing's first page.
-  FollowedHistory history_;
+  ObservedHistory history_;
   Duration listPause_{};
   ListingPlan plan_;
   std::set<std::string> listedKeys_;
--- a/src/core/view_exchange.cc
+++ b/src/core/view_exchange.cc
@@ -95,7 +95,7 @@
 bool ViewExchange::needsWholeView(Revision have) const {
   const bool hasNews = reader_.isWhole() && reader_.revision() > have;
   const bool changesWillDo =
-      have != 0 && changes_ != nullptr && changes_->Reaches(have) && reader_.history().Covers(have);
+      have != 0 && changes_ != nullptr && changes_->Covers(have) && reader_.history().Covers(have);
   return hasNews && !changesWillDo;
 }
 
--- a/src/core/view_messages.h
+++ b/src/core/view_messages.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "core/registration.h"
-#include "core/relay/followed_history.h"
+#include "core/relay/observed_history.h"
 #include "core/types.h"
 
 namespace cobaltgauge::core {
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -57,7 +57,7 @@
   this->SetLoadReports(settings.loadReports);
   this->Relay.SetLoad(&this->Load);
   this->Relay.SetDifference(&this->Difference);
-  this->Relay.SetTiming(core::RelayTiming::Within(std::min(
+  this->Relay.SetTiming(core::RelayTiming::ForBound(std::min(
     { settings.applyWithin, settings.drainWithin, settings.evacuateWithin })));
 }
 
@@ -92,7 +92,7 @@
 void PeerLink::OnStoreAnswer(core::Time now)
 {
   this->Exchange.onTick(now); // A first read that fails lets it ask peers.
-  this->Relay.OnStoreAnswer(now);
+  this->Relay.OnStoreReply(now);
   this->Send();
 }
 
@@ -129,7 +129,7 @@
   } else if (const auto* update = std::get_if<core::ViewUpdate>(&frame)) {
     changed = this->TakeUpdate(*update, now);
   } else if (const auto* report = std::get_if<core::OutlierReport>(&frame)) {
-    this->Relay.OnReport(*report, now);
+    this->Relay.OnOutlierReport(*report, now);
     this->LogOutliers();
   } else if (const auto* load = std::get_if<core::LoadReport>(&frame)) {
     this->Relay.OnLoadReport(*load, now);
@@ -159,7 +159,7 @@
              { "version", std::to_string(transfer.version) },
              { "age_ms", std::to_string(transfer.ageMs) },
              { "backends", std::to_string(transfer.backends.size()) } });
-  this->Relay.OnStoreAnswer(now);
+  this->Relay.OnStoreReply(now);
   return true;
 }
 
@@ -168,7 +168,7 @@
   this->Exchange.learnPeers(update.peers);
   const core::UpdateOutcome outcome = this->Relay.OnUpdate(update, now);
   this->LogUpstream(now);
-  return outcome == core::UpdateOutcome::kTaken;
+  return outcome == core::UpdateOutcome::kApplied;
 }
 
 void PeerLink::FillView(core::Time now)
@@ -176,14 +176,14 @@
   if (!this->Fill.IsNeeded()) {
     return;
   }
-  core::FillPeers peers;
+  core::BackfillPeers peers;
   peers.Known = this->Exchange.peers();
   if (this->Relay.GetUpstream()) {
     peers.Near.push_back(*this->Relay.GetUpstream());
   }
   peers.Seeds = this->Relay.GetSeeds();
   peers.IsSeed = this->Relay.IsSeed();
-  peers.Fleet = this->Relay.CountFleet(now);
+  peers.FleetSize = this->Relay.GetFleetSize(now);
   this->Fill.OnTick(peers, now);
 }
 
@@ -207,7 +207,7 @@
 
 void PeerLink::LogOutliers()
 {
-  for (const core::BackendId backend : this->Relay.TakeFoundOutliers()) {
+  for (const core::BackendId backend : this->Relay.TakeDetectedOutliers()) {
     logOutlier(backend, this->View.Reader.revision());
   }
 }
@@ -232,10 +232,12 @@
   for (const core::OutgoingView& outgoing : this->Exchange.takeMessages()) {
     send(outgoing.destination, outgoing.message);
   }
-  for (const core::OutgoingFill& outgoing : this->Fill.TakeMessages()) {
+  for (const core::OutgoingBackfillMessage& outgoing :
+       this->Fill.TakeMessages()) {
     send(outgoing.Destination, outgoing.Message);
   }
-  for (const core::OutgoingRelay& outgoing : this->Relay.TakeMessages()) {
+  for (const core::OutgoingRelayMessage& outgoing :
+       this->Relay.TakeMessages()) {
     send(outgoing.Destinations, outgoing.Message);
   }
 }
--- a/src/daemon/peers/peer_link.h
+++ b/src/daemon/peers/peer_link.h
@@ -10,7 +10,7 @@
 
 #include "core/load/fleet_load.h"
 #include "core/outlier/outlier_detector.h"
-#include "core/relay/view_fill.h"
+#include "core/relay/view_backfill.h"
 #include "core/relay/view_relay.h"
 #include "core/token_steering.h"
 #include "core/view_exchange.h"
@@ -71,7 +71,7 @@
 
   const core::ViewExchange& GetExchange() const { return this->Exchange; }
   const core::ViewRelay& GetRelay() const { return this->Relay; }
-  const core::ViewFill& GetFill() const { return this->Fill; }
+  const core::ViewBackfill& GetFill() const { return this->Fill; }
   const net::PeerTransportCounters& GetTransportCounters() const
   {
     return this->Peers.counters();
@@ -100,7 +100,7 @@
   core::FleetLoad Load;
   core::ViewDifference Difference;
   core::ViewRelay Relay;
-  core::ViewFill Fill;
+  core::ViewBackfill Fill;
   net::PeerTransport Peers;
   std::optional<core::Endpoint> LoggedUpstream;
 };
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -254,7 +254,7 @@
   steering_.onTick(now);
   updater_.reportExpired();
   peers_.OnTick(now);
-  const std::uint32_t fleet = peers_.GetRelay().CountFleet(now);
+  const std::uint32_t fleet = peers_.GetRelay().GetFleetSize(now);
   steering_.setFleet(fleet);
   changeLines_.setFleet(fleet);
   changeLines_.onTick(now);
--- a/tests/core/load/relayed_load_test.cc
+++ b/tests/core/load/relayed_load_test.cc
@@ -13,7 +13,7 @@
 
   LoadedFleet()
   {
-    this->Grow(kFleet);
+    this->GrowTo(kFleet);
     this->Store.put("servers/1", makeRegistration(1, "web", 1, 1));
     this->AddBackends(10);
   }
@@ -71,7 +71,7 @@
 BOOST_AUTO_TEST_CASE(messages_that_are_lost_hide_little)
 {
   this->RunLoaded(20s);
-  this->Lost = 20;
+  this->DropInterval = 20;
   this->RunLoaded(10s);
   BOOST_TEST(this->CountKnowing(kFleet / 2, kFleet) > kFleet * 3 / 4);
 }
@@ -90,14 +90,14 @@
 {
   this->RunLoaded(20s);
   for (std::size_t i = kFleet / 2; i < kFleet; ++i) {
-    this->At(i).PeersCut = true;
+    this->At(i).IsPartitioned = true;
   }
   this->RunLoaded(8s);
   // Those cut off from everyone know nothing rather than their own alone.
   BOOST_TEST(this->CountKnowing(kFleet / 2 - 2, kFleet / 2) == kFleet / 2);
   for (std::size_t i = kFleet / 2; i < kFleet; ++i) {
     BOOST_TEST(!this->RoomAt(i).has_value());
-    this->At(i).PeersCut = false;
+    this->At(i).IsPartitioned = false;
   }
   this->RunLoaded(10s);
   BOOST_TEST(this->CountKnowing(kFleet - 2, kFleet) == kFleet);
@@ -107,7 +107,7 @@
 {
   this->RunLoaded(20s);
   for (auto& node : this->Nodes) {
-    node->StoreSilent = true;
+    node->StoreUnresponsive = true;
   }
   this->RunLoaded(8s);
   BOOST_TEST(this->CountKnowing(0, kFleet) == 0U);
--- a/tests/core/relay/change_log_test.cc
+++ b/tests/core/relay/change_log_test.cc
@@ -27,13 +27,13 @@
 
 BOOST_AUTO_TEST_SUITE(ChangeLogTest)
 
-BOOST_AUTO_TEST_CASE(knows_nothing_before_the_first_view)
+BOOST_AUTO_TEST_CASE(returns_nothing_before_the_first_listing)
 {
   const core::ChangeLog log;
   BOOST_TEST(!log.Since(0).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_first_view_is_the_base)
+BOOST_AUTO_TEST_CASE(first_listing_is_the_base)
 {
   core::ChangeLog log;
   log.Append(Removal(9));
@@ -43,7 +43,7 @@
   BOOST_TEST(log.Since(10)->Changes.empty());
 }
 
-BOOST_AUTO_TEST_CASE(gives_what_is_newer)
+BOOST_AUTO_TEST_CASE(returns_newer_changes)
 {
   const core::ChangeLog log = MakeLog(13);
   BOOST_REQUIRE(log.Since(11).has_value());
@@ -53,7 +53,7 @@
 }
 
 // A listing's pages arrive one after the other; only its end is a revision.
-BOOST_AUTO_TEST_CASE(a_batch_that_is_not_closed_is_not_given)
+BOOST_AUTO_TEST_CASE(open_batch_is_not_returned)
 {
   core::ChangeLog log = MakeLog(11);
   log.Append(Removal(14));
@@ -65,7 +65,7 @@
 }
 
 // Ten thousand routes to thirty followers would fill a small machine's link.
-BOOST_AUTO_TEST_CASE(a_heavy_change_is_left_out)
+BOOST_AUTO_TEST_CASE(oversized_change_is_omitted)
 {
   core::ChangeLog log = MakeLog(12);
   core::RouteDelta delta;
@@ -81,7 +81,7 @@
 
 // 295 daemons read the store for each batch of back ends that came back after
 // an outage, 1,528 times on a day (cflc-quotes-large trouble-3).
-BOOST_AUTO_TEST_CASE(a_heavy_batch_is_given_in_parts)
+BOOST_AUTO_TEST_CASE(large_batch_is_returned_in_parts)
 {
   constexpr core::Revision kLast = 10 + 3 * core::kHeaviestBatch;
   core::ChangeLog log;
@@ -96,23 +96,23 @@
   std::size_t parts = 0;
   std::size_t changes = 0;
   for (; have < kLast + 5; ++parts) {
-    const auto excerpt = log.Since(have);
-    BOOST_REQUIRE(excerpt.has_value());
-    BOOST_REQUIRE(excerpt->Reached > have);
-    BOOST_TEST(excerpt->Changes.size() <= core::kHeaviestBatch);
-    for (const core::StoreChange& change : excerpt->Changes) {
+    const auto range = log.Since(have);
+    BOOST_REQUIRE(range.has_value());
+    BOOST_REQUIRE(range->EndRevision > have);
+    BOOST_TEST(range->Changes.size() <= core::kHeaviestBatch);
+    for (const core::StoreChange& change : range->Changes) {
       BOOST_TEST(change.revision > have);
-      BOOST_TEST(change.revision <= excerpt->Reached);
+      BOOST_TEST(change.revision <= range->EndRevision);
     }
-    changes += excerpt->Changes.size();
-    have = excerpt->Reached;
+    changes += range->Changes.size();
+    have = range->EndRevision;
   }
   BOOST_TEST(have == kLast + 5);
   BOOST_TEST(parts == 3U);
   BOOST_TEST(changes == 3 * core::kHeaviestBatch);
 }
 
-BOOST_AUTO_TEST_CASE(changes_of_one_revision_stay_together)
+BOOST_AUTO_TEST_CASE(changes_of_one_revision_are_not_split)
 {
   core::ChangeLog log;
   log.Close(10);
@@ -121,15 +121,15 @@
   }
   log.Append(Removal(13));
   log.Close(13);
-  const auto excerpt = log.Since(10);
-  BOOST_REQUIRE(excerpt.has_value());
-  BOOST_TEST(excerpt->Changes.size() == core::kHeaviestBatch + 1);
-  BOOST_TEST(excerpt->Reached == 12U);
+  const auto range = log.Since(10);
+  BOOST_REQUIRE(range.has_value());
+  BOOST_TEST(range->Changes.size() == core::kHeaviestBatch + 1);
+  BOOST_TEST(range->EndRevision == 12U);
 }
 
 // A listing does not say when an item vanished: a part of it, taken for
 // complete up to some revision, would hide that for good.
-BOOST_AUTO_TEST_CASE(a_heavy_listing_is_left_out)
+BOOST_AUTO_TEST_CASE(large_listing_is_omitted)
 {
   core::ChangeLog log = MakeLog(12);
   for (std::size_t i = 0; i <= core::kHeaviestBatch; ++i) {
@@ -142,7 +142,7 @@
   BOOST_TEST(log.GetBase() == listed);
 }
 
-BOOST_AUTO_TEST_CASE(is_bounded)
+BOOST_AUTO_TEST_CASE(log_size_is_bounded)
 {
   const core::ChangeLog log = MakeLog(10 + 2 * core::kHeaviestLog);
   BOOST_TEST(log.GetBase() >=
@@ -155,7 +155,7 @@
 // later.  The daemon that read the store had just started: a later page of its
 // first listing showed the end, newer than the first page, from which the log
 // began.  The watch from there showed it again, and nothing had changed.
-BOOST_AUTO_TEST_CASE(a_first_listing_that_shows_more_than_its_place_is_no_base)
+BOOST_AUTO_TEST_CASE(first_listing_with_newer_items_moves_the_base)
 {
   core::ChangeLog log;
   log.Append(Removal(40));
@@ -168,8 +168,7 @@
   BOOST_TEST(log.Since(60)->Changes.empty());
 }
 
-BOOST_AUTO_TEST_CASE(
-  what_a_later_listing_shows_beyond_its_place_is_told_from_there)
+BOOST_AUTO_TEST_CASE(newer_items_of_a_later_listing_are_returned_again)
 {
   core::ChangeLog log;
   log.Close(50);
@@ -185,7 +184,7 @@
   BOOST_TEST(log.Since(50)->Changes.size() >= 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_batch_that_is_left_out_is_no_base_for_what_it_showed)
+BOOST_AUTO_TEST_CASE(omitted_batch_with_newer_items_moves_the_base)
 {
   core::ChangeLog log;
   log.Close(50);
--- a/tests/core/relay/follower_leases_test.cc
+++ b/tests/core/relay/follower_leases_test.cc
@@ -18,7 +18,7 @@
 
 BOOST_AUTO_TEST_SUITE(FollowerLeasesTest)
 
-BOOST_AUTO_TEST_CASE(a_lease_ends_unless_it_is_renewed)
+BOOST_AUTO_TEST_CASE(lease_expires_unless_renewed)
 {
   core::FollowerLeases leases(endpoint(9, 250, 7720));
   BOOST_TEST(leases.Grant(Follower(1), 1, 100s));
@@ -28,7 +28,7 @@
   BOOST_TEST((leases.List() == std::vector{ Follower(2) }));
 }
 
-BOOST_AUTO_TEST_CASE(a_full_list_takes_only_those_it_has)
+BOOST_AUTO_TEST_CASE(full_list_only_renews_existing_leases)
 {
   core::FollowerLeases leases(endpoint(9, 250, 7720));
   for (std::size_t i = 1; i <= core::kMostFollowers; ++i) {
@@ -39,13 +39,14 @@
   BOOST_TEST(leases.Count() == core::kMostFollowers);
 }
 
-BOOST_AUTO_TEST_CASE(some_others_are_named)
+BOOST_AUTO_TEST_CASE(referrals_exclude_the_requester)
 {
   core::FollowerLeases leases(endpoint(9, 250, 7720));
   for (std::size_t i = 1; i <= 2 * core::kPeersNamed; ++i) {
     leases.Grant(Follower(i), 1, 100s);
   }
-  const std::vector<core::Endpoint> named = leases.NameSome(Follower(1));
+  const std::vector<core::Endpoint> named =
+    leases.SelectReferrals(Follower(1));
   BOOST_TEST(named.size() == core::kPeersNamed);
   BOOST_TEST(
     (std::find(named.begin(), named.end(), Follower(1)) == named.end()));
@@ -53,27 +54,28 @@
 
 // 295 daemons in five zones followed three seeds and each other at random:
 // each change crossed between zones 240 times.
-BOOST_AUTO_TEST_CASE(few_follow_from_another_network_and_the_rest_follow_those)
+BOOST_AUTO_TEST_CASE(followers_from_a_remote_network_are_limited)
 {
   core::FollowerLeases leases(endpoint(9, 250, 7720));
-  const auto far = [](std::size_t number) {
+  const auto remote = [](std::size_t number) {
     return endpoint(7, static_cast<std::uint8_t>(number), 7720);
   };
   for (std::size_t i = 1; i <= core::kFollowersFromAfar; ++i) {
-    BOOST_TEST(leases.Grant(far(i), 1, 100s));
+    BOOST_TEST(leases.Grant(remote(i), 1, 100s));
   }
-  BOOST_TEST(!leases.Grant(far(100), 1, 100s));
+  BOOST_TEST(!leases.Grant(remote(100), 1, 100s));
   // A renewal, its own network and yet another one are not concerned.
-  BOOST_TEST(leases.Grant(far(1), 1, 100s));
+  BOOST_TEST(leases.Grant(remote(1), 1, 100s));
   BOOST_TEST(leases.Grant(Follower(1), 1, 100s));
   BOOST_TEST(leases.Grant(endpoint(5, 1, 7720), 1, 100s));
-  const std::vector<core::Endpoint> named = leases.NameSome(far(100));
+  const std::vector<core::Endpoint> named =
+    leases.SelectReferrals(remote(100));
   BOOST_REQUIRE(named.size() >= core::kFollowersFromAfar);
   for (std::size_t i = 0; i < core::kFollowersFromAfar; ++i) {
-    BOOST_TEST((named[i] == far(i + 1)));
+    BOOST_TEST((named[i] == remote(i + 1)));
   }
   leases.Expire(100s + core::kSubscriptionLease);
-  BOOST_TEST(leases.Grant(far(100), 1, 105s));
+  BOOST_TEST(leases.Grant(remote(100), 1, 105s));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/relay/logged_changes_test.cc
+++ b/tests/core/relay/logged_changes_test.cc
@@ -27,25 +27,25 @@
 // An update brings a lapsed registration's removal and its return together.
 // To this view nothing happened; a follower that had heard of the removal
 // from another daemon kept the back end out until it changed again.
-BOOST_AUTO_TEST_CASE(a_registration_that_is_back_as_it_was_is_passed_on)
+BOOST_AUTO_TEST_CASE(identical_reregistration_is_propagated)
 {
   this->Take(12, this->Registered);
   this->Take(11, core::RemovedItem{});
   this->Log.Close(12);
-  const auto excerpt = this->Log.Since(11);
-  BOOST_TEST_REQUIRE(excerpt.has_value());
-  BOOST_TEST_REQUIRE(excerpt->Changes.size() == 1U);
-  BOOST_TEST(excerpt->Changes[0].revision == 12U);
+  const auto range = this->Log.Since(11);
+  BOOST_TEST_REQUIRE(range.has_value());
+  BOOST_TEST_REQUIRE(range->Changes.size() == 1U);
+  BOOST_TEST(range->Changes[0].revision == 12U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_not_newer_is_not_passed_on)
+BOOST_AUTO_TEST_CASE(older_changes_are_not_propagated)
 {
   this->Take(10, this->Registered);
   this->Take(9, core::RemovedItem{});
   this->Log.Close(12);
-  const auto excerpt = this->Log.Since(10);
-  BOOST_TEST_REQUIRE(excerpt.has_value());
-  BOOST_TEST(excerpt->Changes.empty());
+  const auto range = this->Log.Since(10);
+  BOOST_TEST_REQUIRE(range.has_value());
+  BOOST_TEST(range->Changes.empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/relay/peer_clocks_test.cc
+++ b/tests/core/relay/peer_clocks_test.cc
@@ -40,49 +40,49 @@
 
 BOOST_FIXTURE_TEST_SUITE(PeerClocksTest, PeerClocksFixture)
 
-BOOST_AUTO_TEST_CASE(a_view_looks_older_by_a_delay_and_never_younger)
+BOOST_AUTO_TEST_CASE(delay_makes_a_view_look_older_only)
 {
   const core::ViewUpdate update = this->Answer(100s, 100s + 300ms, 99s);
-  this->Clocks.Note(update, 100s + 400ms);
-  const auto confirmed = this->Clocks.GetConfirmation(update, 100s + 400ms);
+  this->Clocks.RecordOffset(update, 100s + 400ms);
+  const auto confirmed = this->Clocks.GetConfirmedAt(update, 100s + 400ms);
   BOOST_REQUIRE(confirmed.has_value());
   BOOST_TEST((*confirmed == 99s - 300ms));
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_that_never_answered_has_no_clock)
+BOOST_AUTO_TEST_CASE(peer_without_answer_has_unknown_clock)
 {
   core::ViewUpdate push = this->Answer(100s, 100s, 99s);
   push.echoUs = 0;
-  this->Clocks.Note(push, 100s);
-  BOOST_TEST(!this->Clocks.GetConfirmation(push, 100s).has_value());
+  this->Clocks.RecordOffset(push, 100s);
+  BOOST_TEST(!this->Clocks.GetConfirmedAt(push, 100s).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_that_took_too_long_tells_nothing)
+BOOST_AUTO_TEST_CASE(late_answer_is_ignored)
 {
   const core::ViewUpdate late = this->Answer(100s, 100s, 99s);
   const core::Time now = 100s + core::kSubscriptionLease + 1ms;
-  this->Clocks.Note(late, now);
-  BOOST_TEST(!this->Clocks.GetConfirmation(late, now).has_value());
+  this->Clocks.RecordOffset(late, now);
+  BOOST_TEST(!this->Clocks.GetConfirmedAt(late, now).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_confirmed_in_the_future)
+BOOST_AUTO_TEST_CASE(confirmation_is_never_in_the_future)
 {
   const core::ViewUpdate update = this->Answer(100s, 100s, 300s);
-  this->Clocks.Note(update, 101s);
-  BOOST_TEST((*this->Clocks.GetConfirmation(update, 101s) == 101s));
+  this->Clocks.RecordOffset(update, 101s);
+  BOOST_TEST((*this->Clocks.GetConfirmedAt(update, 101s) == 101s));
 }
 
-BOOST_AUTO_TEST_CASE(a_clock_is_forgotten_with_its_peer_and_in_time)
+BOOST_AUTO_TEST_CASE(clock_offset_is_removed_with_its_peer_and_on_expiry)
 {
   const core::ViewUpdate update = this->Answer(100s, 100s, 99s);
-  this->Clocks.Note(update, 100s);
+  this->Clocks.RecordOffset(update, 100s);
   this->Clocks.Expire(100s + core::kClockMemory);
-  BOOST_TEST(this->Clocks.GetConfirmation(update, 100s).has_value());
+  BOOST_TEST(this->Clocks.GetConfirmedAt(update, 100s).has_value());
   this->Clocks.Expire(100s + core::kClockMemory + 1ms);
-  BOOST_TEST(!this->Clocks.GetConfirmation(update, 100s).has_value());
-  this->Clocks.Note(update, 100s);
+  BOOST_TEST(!this->Clocks.GetConfirmedAt(update, 100s).has_value());
+  this->Clocks.RecordOffset(update, 100s);
   this->Clocks.Forget(this->Peer);
-  BOOST_TEST(!this->Clocks.GetConfirmation(update, 100s).has_value());
+  BOOST_TEST(!this->Clocks.GetConfirmedAt(update, 100s).has_value());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/relay/relay_fixture.h
+++ b/tests/core/relay/relay_fixture.h
@@ -11,7 +11,7 @@
 
 #include "core/constants.h"
 #include "core/load/fleet_load.h"
-#include "core/relay/view_fill.h"
+#include "core/relay/view_backfill.h"
 #include "core/relay/view_relay.h"
 #include "core/view_updater.h"
 #include "support/token_fixtures.h"
@@ -48,19 +48,20 @@
   core::FleetLoad Load{ this->Address, this->Meter, [this](core::Time now) {
                          return this->Backends.countSlots(now);
                        } };
-  core::ViewFill Fill{ this->Address,
-                       this->Reader,
-                       this->Updater,
-                       this->Backends,
-                       this->Random };
+  core::ViewBackfill Fill{ this->Address,
+                           this->Reader,
+                           this->Updater,
+                           this->Backends,
+                           this->Random };
   std::optional<core::StoreRead> Pending;
-  core::Time AskedAt{};
+  core::Time RequestedAt{};
   std::uint64_t Calls = 0;
-  std::uint64_t ItemsRead = 0; ///< Of the store.
-  bool Alive = true;           ///< Neither killed nor frozen.
-  bool StoreSilent = false;    ///< The store's answers do not reach it.
+  std::uint64_t ItemsRead = 0;    ///< Of the store.
+  bool Alive = true;              ///< Neither killed nor frozen.
+  bool StoreUnresponsive = false; ///< The store's answers do not reach it.
   bool StoreRefuses = false;
-  bool PeersCut = false; ///< No message of a peer reaches it, nor its own any.
+  bool IsPartitioned =
+    false; ///< No message of a peer reaches it, nor its own any.
 
   Node(std::uint8_t host, core::Duration clockOffset)
     : Address(endpoint(9, host, 7720))
@@ -95,21 +96,22 @@
 
   FakeStore Store;
   std::vector<std::unique_ptr<Node>> Nodes;
-  std::vector<Message> Waiting; ///< For a daemon that is frozen.
+  std::vector<Message> QueuedMessages; ///< For a daemon that is frozen.
   core::Time Now = 100s;
   /// What a read gives where the store refuses.
   core::ReadOutcome Refusal = core::ReadOutcome::kThrottled;
-  std::uint64_t Lost = 0; ///< Every so many messages one is lost; 0: none.
+  std::uint64_t DropInterval =
+    0; ///< Every so many messages one is lost; 0: none.
   std::uint64_t Sent = 0;
 
   RelayFixture()
   {
     this->Store.put("op/config", makeRoutes(7, { { 1, "web" } }));
     this->Store.put("servers/1", makeRegistration(1, "web", 1, 1));
-    this->Grow(12);
+    this->GrowTo(12);
   }
 
-  void Grow(std::size_t count)
+  void GrowTo(std::size_t count)
   {
     std::vector<core::Endpoint> seeds;
     while (this->Nodes.size() < count) {
@@ -134,17 +136,17 @@
     const core::Time clock = node.Clock(this->Now);
     if (!node.Pending) {
       node.Pending = node.Reader.nextRead(clock);
-      node.AskedAt = clock;
+      node.RequestedAt = clock;
       node.Calls += node.Pending ? 1 : 0;
     }
     if (!node.Pending) {
       return false;
     }
-    const core::Duration waited = clock - node.AskedAt;
+    const core::Duration waited = clock - node.RequestedAt;
     std::optional<core::StoreReply> reply;
     if (node.StoreRefuses) {
       reply = failedRead(this->Refusal);
-    } else if (node.StoreSilent) {
+    } else if (node.StoreUnresponsive) {
       if (waited >= node.Pending->timeout) {
         reply = failedRead(core::ReadOutcome::kTimedOut);
       }
@@ -162,17 +164,18 @@
       node.Pending.reset();
       node.ItemsRead += reply->changes.size();
       node.Reader.onReply(*reply, clock);
-      node.Relay.OnStoreAnswer(clock);
+      node.Relay.OnStoreReply(clock);
     }
     return reply.has_value();
   }
 
   void Collect(Node& node, std::vector<Message>& messages)
   {
-    for (core::OutgoingRelay& outgoing : node.Relay.TakeMessages()) {
+    for (core::OutgoingRelayMessage& outgoing : node.Relay.TakeMessages()) {
       for (const core::Endpoint& destination : outgoing.Destinations) {
-        const bool lost = this->Lost != 0 && ++this->Sent % this->Lost == 0;
-        if (!node.PeersCut && !lost) {
+        const bool lost =
+          this->DropInterval != 0 && ++this->Sent % this->DropInterval == 0;
+        if (!node.IsPartitioned && !lost) {
           std::visit(
             [&messages, &destination](const auto& content) {
               messages.push_back({ destination, content });
@@ -181,8 +184,8 @@
         }
       }
     }
-    for (core::OutgoingFill& outgoing : node.Fill.TakeMessages()) {
-      if (!node.PeersCut) {
+    for (core::OutgoingBackfillMessage& outgoing : node.Fill.TakeMessages()) {
+      if (!node.IsPartitioned) {
         std::visit(
           [&messages, &outgoing](const auto& content) {
             messages.push_back({ outgoing.Destination, content });
@@ -195,11 +198,11 @@
   void Deliver(const Message& message)
   {
     for (auto& node : this->Nodes) {
-      if (node->Address != message.Destination || node->PeersCut) {
+      if (node->Address != message.Destination || node->IsPartitioned) {
         continue;
       }
       if (!node->Alive) {
-        this->Waiting.push_back(message);
+        this->QueuedMessages.push_back(message);
         continue;
       }
       const core::Time clock = node->Clock(this->Now);
@@ -208,7 +211,7 @@
         node->Relay.OnSubscription(*subscription, clock);
       } else if (const auto* report =
                    std::get_if<core::OutlierReport>(&message.Content)) {
-        node->Relay.OnReport(*report, clock);
+        node->Relay.OnOutlierReport(*report, clock);
       } else if (const auto* load =
                    std::get_if<core::LoadReport>(&message.Content)) {
         node->Relay.OnLoadReport(*load, clock);
@@ -228,7 +231,7 @@
     }
   }
 
-  void Exchange()
+  void DeliverMessages()
   {
     for (int hop = 0; hop < 6; ++hop) {
       std::vector<Message> messages;
@@ -253,25 +256,25 @@
     for (auto& node : this->Nodes) {
       if (node->Alive) {
         node->Relay.OnTick(peers, node->Clock(this->Now));
-        this->FillView(*node, peers);
+        this->BackfillView(*node, peers);
         // A daemon goes on reading before it hears its peers.
         for (int reads = 0; reads < 3 && this->ServeStore(*node); ++reads) {
         }
       }
     }
-    this->Exchange();
+    this->DeliverMessages();
   }
 
-  void FillView(Node& node, const std::vector<core::Endpoint>& known)
+  void BackfillView(Node& node, const std::vector<core::Endpoint>& known)
   {
-    core::FillPeers peers;
+    core::BackfillPeers peers;
     peers.Known = known;
     if (node.Relay.GetUpstream()) {
       peers.Near.push_back(*node.Relay.GetUpstream());
     }
     peers.Seeds = node.Relay.GetSeeds();
     peers.IsSeed = node.Relay.IsSeed();
-    peers.Fleet = static_cast<std::uint32_t>(this->Nodes.size());
+    peers.FleetSize = static_cast<std::uint32_t>(this->Nodes.size());
     node.Fill.OnTick(peers, node.Clock(this->Now));
   }
 
@@ -313,11 +316,11 @@
   }
 
   /// \return how long it takes until all that live have this version.
-  core::Duration TimeUntilInForce(core::ConfigurationVersion version)
+  core::Duration TimeUntilApplied(core::ConfigurationVersion version)
   {
     const core::Time began = this->Now;
     const auto lacks = [version](const std::unique_ptr<Node>& node) {
-      return node->Alive && !node->StoreRefuses && !node->StoreSilent &&
+      return node->Alive && !node->StoreRefuses && !node->StoreUnresponsive &&
         node->Routes.version() < version;
     };
     while (std::any_of(this->Nodes.begin(), this->Nodes.end(), lacks)) {
@@ -327,7 +330,7 @@
     return this->Now - began;
   }
 
-  void RefuseAll(bool refuses)
+  void SetStoreRefusesAll(bool refuses)
   {
     for (auto& node : this->Nodes) {
       node->StoreRefuses = refuses;
--- a/tests/core/relay/relay_starts_test.cc
+++ b/tests/core/relay/relay_starts_test.cc
@@ -8,12 +8,12 @@
 namespace {
 
 /// Changes must be in force within 3 s on every daemon that is in touch.
-constexpr core::Duration kInForceWithin = 3s;
+constexpr core::Duration kPropagationLimit = 3s;
 
 BOOST_FIXTURE_TEST_SUITE(RelayStartsTest, RelayFixture)
 
 // A daemon without any view gets one through the ViewExchange.
-BOOST_AUTO_TEST_CASE(daemons_that_the_store_refuses_follow_those_it_serves)
+BOOST_AUTO_TEST_CASE(refused_daemons_follow_served_daemons)
 {
   this->Run(3s);
   for (std::size_t i = 0; i < kSeeds; ++i) {
@@ -21,7 +21,7 @@
   }
   this->Run(8s);
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(9) < kPropagationLimit));
   this->Run(3s);
   for (auto& node : this->Nodes) {
     BOOST_TEST(node->Routes.version() == 9U);
@@ -30,9 +30,9 @@
 
 // Each of 295 daemons that started together began a watch of its own before it
 // had heard of a reader.
-BOOST_AUTO_TEST_CASE(a_starting_fleet_lists_and_catches_up_by_its_seeds)
+BOOST_AUTO_TEST_CASE(starting_fleet_catches_up_from_its_seeds)
 {
-  this->Grow(30);
+  this->GrowTo(30);
   this->Run(3s);
   BOOST_TEST(this->CountReading() == 1U);
   // A listing each, and what three seeds read until they agree.
@@ -44,26 +44,26 @@
 
 // 295 daemons that were all killed while the store was away tried it 3,600
 // times a second (lapse_and_total_restart on cflc-quotes-large).
-BOOST_AUTO_TEST_CASE(a_fleet_without_views_leaves_the_tries_to_its_seeds)
+BOOST_AUTO_TEST_CASE(fleet_without_views_leaves_retries_to_its_seeds)
 {
-  this->Grow(40);
+  this->GrowTo(40);
   this->Refusal = core::ReadOutcome::kUnavailable;
-  this->RefuseAll(true);
+  this->SetStoreRefusesAll(true);
   this->Run(1s);
   const std::uint64_t before = this->CountCalls();
   this->Run(5s);
   // Three seeds try every 75 ms, 37 others every 600 ms.
   BOOST_TEST(this->CountCalls() - before < 560U);
-  this->RefuseAll(false);
+  this->SetStoreRefusesAll(false);
   this->Run(700ms);
   for (auto& node : this->Nodes) {
     BOOST_TEST(node->Reader.isComplete());
   }
 }
 
-BOOST_AUTO_TEST_CASE(without_seeds_a_starting_fleet_catches_up_by_the_store)
+BOOST_AUTO_TEST_CASE(without_seeds_starting_fleet_catches_up_from_the_store)
 {
-  this->Grow(30);
+  this->GrowTo(30);
   for (std::size_t i = 0; i < kSeeds; ++i) {
     this->At(i).Alive = false;
   }
@@ -75,7 +75,7 @@
 
 // Pages of a listing are no snapshot: a later one may show an item that the
 // seed never saw, since it came and went between two of the seed's reads.
-BOOST_AUTO_TEST_CASE(what_a_seed_never_saw_is_told_to_be_gone)
+BOOST_AUTO_TEST_CASE(removal_of_an_item_unknown_to_the_seed_is_propagated)
 {
   this->Run(5s);
   Node& reader = *this->Readers()[0];
@@ -93,10 +93,10 @@
   // The store's answer to the seed holds what was last true of the item.
   reader.Updater.onChange(gone, clock);
   reader.Log.Close(this->Store.revision());
-  const auto excerpt = reader.Log.Since(listed);
-  BOOST_REQUIRE(excerpt.has_value());
+  const auto range = reader.Log.Since(listed);
+  BOOST_REQUIRE(range.has_value());
   starting.Updater.onChange(seen, starting.Clock(this->Now));
-  for (const core::StoreChange& change : excerpt->Changes) {
+  for (const core::StoreChange& change : range->Changes) {
     starting.Updater.onChange(change, starting.Clock(this->Now));
   }
   BOOST_TEST(starting.Backends.activeCount() == 1U);
--- a/tests/core/relay/relayed_evacuations_test.cc
+++ b/tests/core/relay/relayed_evacuations_test.cc
@@ -7,7 +7,7 @@
 
 constexpr const char* kKey = "op/evacuate/a";
 /// A zone must be out this long after its evacuation was acknowledged.
-constexpr core::Duration kOutWithin = 3s;
+constexpr core::Duration kPropagationLimit = 3s;
 
 struct RelayedEvacuationsFixture : RelayFixture
 {
@@ -28,87 +28,87 @@
   }
 
   void Evacuate() { this->Store.put(kKey, core::ZoneEvacuation{ "a" }); }
-  void TakeBack() { this->Store.put(kKey, core::RemovedItem{}); }
+  void EndEvacuation() { this->Store.put(kKey, core::RemovedItem{}); }
 };
 
 BOOST_FIXTURE_TEST_SUITE(RelayedEvacuationsTest, RelayedEvacuationsFixture)
 
-BOOST_AUTO_TEST_CASE(a_zone_is_out_and_back_on_all_daemons)
+BOOST_AUTO_TEST_CASE(zone_is_evacuated_and_restored_on_all_daemons)
 {
-  this->Grow(40);
+  this->GrowTo(40);
   this->Run(5s);
   this->Evacuate();
   BOOST_TEST((this->TimeUntil(true) <= 3 * kStep));
   for (auto& node : this->Nodes) {
     BOOST_TEST(node->Backends.activeCount() == 0U);
   }
-  this->TakeBack();
+  this->EndEvacuation();
   BOOST_TEST((this->TimeUntil(false) <= 3 * kStep));
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_that_is_out_again_within_a_second_stays_out)
+BOOST_AUTO_TEST_CASE(zone_evacuated_again_within_a_second_stays_evacuated)
 {
-  this->Grow(40);
+  this->GrowTo(40);
   this->Run(5s);
   this->Evacuate();
-  this->TakeBack();
+  this->EndEvacuation();
   this->Evacuate();
-  this->Run(kOutWithin);
+  this->Run(kPropagationLimit);
   BOOST_TEST((this->TimeUntil(true) == 0s));
   this->Run(5s);
   BOOST_TEST((this->TimeUntil(true) == 0s));
-  this->TakeBack();
+  this->EndEvacuation();
   this->Evacuate();
-  this->TakeBack();
-  this->Run(kOutWithin);
+  this->EndEvacuation();
+  this->Run(kPropagationLimit);
   BOOST_TEST((this->TimeUntil(false) == 0s));
 }
 
-BOOST_AUTO_TEST_CASE(a_readers_death_delays_it_within_the_bound)
+BOOST_AUTO_TEST_CASE(failed_reader_delays_evacuation_within_the_limit)
 {
   this->Run(5s);
   this->Readers()[0]->Alive = false;
   this->Evacuate();
-  BOOST_TEST((this->TimeUntil(true) < kOutWithin));
+  BOOST_TEST((this->TimeUntil(true) < kPropagationLimit));
 }
 
-BOOST_AUTO_TEST_CASE(daemons_that_the_store_turns_away_hear_of_it)
+BOOST_AUTO_TEST_CASE(refused_daemons_receive_the_evacuation)
 {
-  this->Grow(20);
+  this->GrowTo(20);
   this->Run(5s);
   for (std::size_t i = 0; i < 8; ++i) {
     this->At(i).StoreRefuses = true;
   }
   this->Evacuate();
-  BOOST_TEST((this->TimeUntil(true) < kOutWithin));
+  BOOST_TEST((this->TimeUntil(true) < kPropagationLimit));
 }
 
-BOOST_AUTO_TEST_CASE(a_daemon_that_starts_with_a_stale_listing_hears_of_it)
+BOOST_AUTO_TEST_CASE(daemon_with_a_stale_listing_receives_the_evacuation)
 {
   this->Run(5s);
   this->Store.freezeStale();
   this->Evacuate();
   this->Run(1s);
-  this->Grow(14);
-  BOOST_TEST((this->TimeUntil(true) < kOutWithin));
+  this->GrowTo(14);
+  BOOST_TEST((this->TimeUntil(true) < kPropagationLimit));
   this->Store.freezeStale();
-  this->TakeBack();
+  this->EndEvacuation();
   this->Run(1s);
-  this->Grow(16);
-  BOOST_TEST((this->TimeUntil(false) < kOutWithin));
+  this->GrowTo(16);
+  BOOST_TEST((this->TimeUntil(false) < kPropagationLimit));
 }
 
-BOOST_AUTO_TEST_CASE(it_ends_where_the_history_of_that_is_gone)
+BOOST_AUTO_TEST_CASE(evacuation_ends_after_the_store_history_is_lost)
 {
   this->Run(5s);
   this->Evacuate();
-  BOOST_TEST((this->TimeUntil(true) < kOutWithin));
-  this->RefuseAll(true);
+  BOOST_TEST((this->TimeUntil(true) < kPropagationLimit));
+  this->SetStoreRefusesAll(true);
   this->Run(2s);
-  this->TakeBack();
+  this->EndEvacuation();
   this->Store.compact();
-  this->RefuseAll(false);
-  BOOST_TEST((this->TimeUntil(false) < kOutWithin));
+  this->SetStoreRefusesAll(false);
+  BOOST_TEST((this->TimeUntil(false) < kPropagationLimit));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/relay/seed_group_test.cc
+++ b/tests/core/relay/seed_group_test.cc
@@ -21,11 +21,11 @@
 
   SeedGroupFixture()
   {
-    this->Seeds.Set({ this->First, this->Second });
+    this->Seeds.SetSeeds({ this->First, this->Second });
     this->Seeds.OnTick(this->Now);
   }
 
-  core::ViewUpdate AnswerAged(core::Duration age) const
+  core::ViewUpdate AnswerWithViewAge(core::Duration age) const
   {
     core::ViewUpdate update;
     update.sender = this->First;
@@ -39,7 +39,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(SeedGroupTest, SeedGroupFixture)
 
-BOOST_AUTO_TEST_CASE(seeds_are_asked_in_turn)
+BOOST_AUTO_TEST_CASE(seeds_are_queried_in_turn)
 {
   const core::Endpoint first = this->Seeds.GetNext();
   const core::Endpoint second = this->Seeds.GetNext();
@@ -47,52 +47,54 @@
   BOOST_TEST((this->Seeds.GetNext() == first));
 }
 
-BOOST_AUTO_TEST_CASE(a_seed_does_not_ask_itself_and_is_not_covered)
+BOOST_AUTO_TEST_CASE(seed_excludes_itself)
 {
   core::SeedGroup own(this->First);
-  own.Set({ this->First, this->Second });
+  own.SetSeeds({ this->First, this->Second });
   own.OnTick(this->Now);
   BOOST_TEST(own.IsSelfSeed());
   BOOST_TEST((own.GetNext() == this->Second));
   BOOST_TEST(!own.Contains(this->First));
-  BOOST_TEST(!own.IsCovered(this->Now));
+  BOOST_TEST(!own.HasReachableSeed(this->Now));
 }
 
-BOOST_AUTO_TEST_CASE(seeds_count_until_they_have_been_silent)
+BOOST_AUTO_TEST_CASE(seeds_are_reachable_until_the_timeout)
 {
-  BOOST_TEST(this->Seeds.IsCovered(this->Now));
+  BOOST_TEST(this->Seeds.HasReachableSeed(this->Now));
   this->Now += core::kSeedHeardWithin;
   this->Seeds.OnTick(this->Now);
-  BOOST_TEST(!this->Seeds.IsCovered(this->Now));
-  this->Seeds.OnUpdate(this->AnswerAged(0s), this->Timing, this->Now);
-  BOOST_TEST(this->Seeds.IsCovered(this->Now));
+  BOOST_TEST(!this->Seeds.HasReachableSeed(this->Now));
+  this->Seeds.OnUpdate(this->AnswerWithViewAge(0s), this->Timing, this->Now);
+  BOOST_TEST(this->Seeds.HasReachableSeed(this->Now));
 }
 
-BOOST_AUTO_TEST_CASE(an_old_view_shows_that_a_seed_reads_in_vain)
+BOOST_AUTO_TEST_CASE(old_view_of_a_seed_indicates_a_failing_store)
 {
   const core::Duration limit =
     this->Timing.SeedReadsAfter + core::kSeedTriesWithin;
-  this->Seeds.OnUpdate(this->AnswerAged(limit - 1ms), this->Timing, this->Now);
-  BOOST_TEST(!this->Seeds.HasFailed(this->Now));
-  this->Seeds.OnUpdate(this->AnswerAged(limit), this->Timing, this->Now);
-  BOOST_TEST(this->Seeds.HasFailed(this->Now));
+  this->Seeds.OnUpdate(
+    this->AnswerWithViewAge(limit - 1ms), this->Timing, this->Now);
+  BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now));
+  this->Seeds.OnUpdate(
+    this->AnswerWithViewAge(limit), this->Timing, this->Now);
+  BOOST_TEST(this->Seeds.IsStoreFailing(this->Now));
   // It is believed for a while, and until a seed is served again.
-  BOOST_TEST(!this->Seeds.HasFailed(this->Now + core::kSeedHeardWithin));
-  this->Seeds.OnUpdate(this->AnswerAged(10ms), this->Timing, this->Now);
-  BOOST_TEST(!this->Seeds.HasFailed(this->Now));
+  BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now + core::kSeedHeardWithin));
+  this->Seeds.OnUpdate(this->AnswerWithViewAge(10ms), this->Timing, this->Now);
+  BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now));
 }
 
-BOOST_AUTO_TEST_CASE(what_says_nothing_of_the_store_shows_no_failure)
+BOOST_AUTO_TEST_CASE(unrelated_updates_do_not_indicate_a_failing_store)
 {
-  core::ViewUpdate pushed = this->AnswerAged(10s);
+  core::ViewUpdate pushed = this->AnswerWithViewAge(10s);
   pushed.echoUs = 0;
-  core::ViewUpdate part = this->AnswerAged(10s);
+  core::ViewUpdate part = this->AnswerWithViewAge(10s);
   part.confirmedUs = 0;
-  core::ViewUpdate stranger = this->AnswerAged(10s);
+  core::ViewUpdate stranger = this->AnswerWithViewAge(10s);
   stranger.sender = endpoint(9, 30, 7720);
   for (const core::ViewUpdate& update : { pushed, part, stranger }) {
     this->Seeds.OnUpdate(update, this->Timing, this->Now);
-    BOOST_TEST(!this->Seeds.HasFailed(this->Now));
+    BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now));
   }
 }
 
--- a/tests/core/relay/store_era_stateful_test.cc
+++ b/tests/core/relay/store_era_stateful_test.cc
@@ -13,30 +13,30 @@
 namespace {
 
 /// A back end as it lives, whatever the store knows of it.
-struct LivingBackend
+struct SimulatedBackend
 {
   bool Alive = true;
   bool Leaving = false;
   std::uint64_t Statement = 1;
 };
 
-struct EraWorld : RelayFixture
+struct StoreEraScenario : RelayFixture
 {
   static constexpr std::size_t kDaemons = 8;
-  static constexpr std::size_t kChangesOfRound = 24;
+  static constexpr std::size_t kChangesPerRound = 24;
   static constexpr std::uint64_t kFirstBackend = 10;
   /// After which everything has to be known everywhere once all is well: what
   /// the store has lost is written again by then, and in force 3 s later.
-  static constexpr core::Duration kSettled = 6s;
+  static constexpr core::Duration kSettlingTime = 6s;
 
   sim::SeededRandom Random;
-  std::map<std::uint64_t, LivingBackend> Backends;
-  std::map<std::string, bool> ZonesOut;
+  std::map<std::uint64_t, SimulatedBackend> Backends;
+  std::map<std::string, bool> EvacuatedZones;
   core::ConfigurationVersion Version = 7;
   std::optional<FakeStore::Copy> Copy;
   std::string Trace;
 
-  explicit EraWorld(std::uint64_t seed)
+  explicit StoreEraScenario(std::uint64_t seed)
     : Random(seed)
   {
     this->Nodes.resize(kDaemons);
@@ -46,7 +46,7 @@
     }
   }
 
-  void Note(const std::string& what)
+  void AddTrace(const std::string& what)
   {
     this->Trace += " " + toString(this->Store.revision()) + " " + what + ";";
   }
@@ -58,7 +58,7 @@
 
   void Register(std::uint64_t id)
   {
-    LivingBackend& backend = this->Backends.at(id);
+    SimulatedBackend& backend = this->Backends.at(id);
     core::Registration registration =
       makeRegistration(id, "web", 1, static_cast<std::uint8_t>(id));
     registration.state = backend.Leaving ? core::BackendState::kLeaving
@@ -67,14 +67,17 @@
     this->Store.put(KeyOf(id), registration);
   }
 
-  std::uint64_t DrawBackend()
+  std::uint64_t SelectBackend()
   {
     auto item = this->Backends.begin();
     std::advance(item, this->Random.below(this->Backends.size()));
     return item->first;
   }
 
-  Node& DrawNode() { return this->At(this->Random.below(this->Nodes.size())); }
+  Node& SelectNode()
+  {
+    return this->At(this->Random.below(this->Nodes.size()));
+  }
 
   void WriteRoutes()
   {
@@ -85,10 +88,10 @@
     this->Store.put("op/config", makeRoutes(this->Version, routes));
   }
 
-  void WriteZone(const std::string& zone)
+  void WriteZoneState(const std::string& zone)
   {
     const std::string key = "op/evacuate/" + zone;
-    if (this->ZonesOut.at(zone)) {
+    if (this->EvacuatedZones.at(zone)) {
       this->Store.put(key, core::ZoneEvacuation{ zone });
     } else {
       this->Store.put(key, core::RemovedItem{});
@@ -98,31 +101,31 @@
   /// What the copy lacks is written again, by operators and by back ends;
   /// whoever is gone says nothing, and its item lapses.  What the copy has
   /// stays as it is: heartbeats that say nothing new raise no revision.
-  void WriteAgain()
+  void RewriteLostItems()
   {
     const core::StoreChange* routes = this->Store.find("op/config");
     if (std::get<core::RouteSet>(routes->item).version != this->Version) {
       this->WriteRoutes();
     }
-    for (const auto& [zone, isOut] : this->ZonesOut) {
+    for (const auto& [zone, isOut] : this->EvacuatedZones) {
       const bool isWritten =
         this->Store.find("op/evacuate/" + zone) != nullptr;
       if (isWritten != isOut) {
-        this->WriteZone(zone);
+        this->WriteZoneState(zone);
       }
     }
     for (const auto& [id, backend] : this->Backends) {
       const core::StoreChange* item = this->Store.find(KeyOf(id));
       if (!backend.Alive && item != nullptr) {
         this->Store.put(KeyOf(id), core::RemovedItem{});
-      } else if (backend.Alive && this->HasNews(item, backend)) {
+      } else if (backend.Alive && this->HasUnwrittenState(item, backend)) {
         this->Register(id);
       }
     }
   }
 
-  static bool HasNews(const core::StoreChange* item,
-                      const LivingBackend& backend)
+  static bool HasUnwrittenState(const core::StoreChange* item,
+                                const SimulatedBackend& backend)
   {
     if (item == nullptr) {
       return true;
@@ -134,14 +137,15 @@
 
   /// An end that a daemon has heard of stays known to it, though the store
   /// knows nothing of it for a while.
-  std::set<std::pair<const Node*, std::uint64_t>> KnownEnds() const
+  std::set<std::pair<const Node*, std::uint64_t>> KnownShutdowns() const
   {
     std::set<std::pair<const Node*, std::uint64_t>> known;
     for (const auto& node : this->Nodes) {
       for (const auto& [id, backend] : this->Backends) {
-        const core::Registration* said =
+        const core::Registration* registration =
           node->Backends.registrationOf(core::BackendId{ id });
-        if (said != nullptr && said->state == core::BackendState::kLeaving) {
+        if (registration != nullptr &&
+            registration->state == core::BackendState::kLeaving) {
           known.emplace(node.get(), id);
         }
       }
@@ -150,52 +154,52 @@
   }
 
   /// So does a zone that is out.
-  std::set<const Node*> DaemonsThatKeepOut(const std::string& zone)
+  std::set<const Node*> DaemonsWithZoneEvacuated(const std::string& zone)
   {
     std::set<const Node*> daemons;
     for (const auto& node : this->Nodes) {
       const bool isOut = node->Backends.evacuations().IsEvacuated(zone);
-      if (isOut && this->ZonesOut[zone]) {
+      if (isOut && this->EvacuatedZones[zone]) {
         daemons.insert(node.get());
       }
     }
     return daemons;
   }
 
-  void ComeBack()
+  void RestoreStore()
   {
     if (!this->Copy) {
       return;
     }
-    this->Note("comes back from " + std::to_string(this->Copy->revision));
-    const bool wasAway = this->Random.below(2) == 0;
-    if (wasAway) {
+    this->AddTrace("comes back from " + std::to_string(this->Copy->revision));
+    const bool wasUnavailable = this->Random.below(2) == 0;
+    if (wasUnavailable) {
       this->Refusal = core::ReadOutcome::kConnectionLost;
-      this->RefuseAll(true);
+      this->SetStoreRefusesAll(true);
       this->RunAll(core::Duration(this->Random.below(2000) * 1000));
-      this->RefuseAll(false);
+      this->SetStoreRefusesAll(false);
     }
     this->Store.comeBackFrom(*this->Copy);
     this->Copy.reset();
-    const auto knownEnds = this->KnownEnds();
-    const auto knownOut = this->DaemonsThatKeepOut("b");
+    const auto knownShutdowns = this->KnownShutdowns();
+    const auto knownEvacuated = this->DaemonsWithZoneEvacuated("b");
     if (this->Random.below(2) == 0) {
       this->RunAll(core::Duration(this->Random.below(2000) * 1000));
     }
-    for (const auto& [node, id] : knownEnds) {
+    for (const auto& [node, id] : knownShutdowns) {
       BOOST_TEST(!node->Backends.takesNewFlows(core::BackendId{ id }),
                  "back end " << id << " is given flows again" << this->Trace);
     }
-    for (const Node* node : knownOut) {
+    for (const Node* node : knownEvacuated) {
       BOOST_TEST(node->Backends.evacuations().IsEvacuated("b"),
                  "the zone is given flows again" << this->Trace);
     }
-    this->WriteAgain();
+    this->RewriteLostItems();
   }
 
   void Restart(Node& node)
   {
-    this->Note("restart");
+    this->AddTrace("restart");
     for (auto& slot : this->Nodes) {
       if (slot.get() == &node) {
         slot = std::make_unique<Node>(node.Address.address.bytes[3],
@@ -203,27 +207,27 @@
         break;
       }
     }
-    this->Grow(this->Nodes.size());
+    this->GrowTo(this->Nodes.size());
   }
 
   void ChangeBackends()
   {
-    const std::uint64_t id = this->DrawBackend();
-    LivingBackend& backend = this->Backends.at(id);
+    const std::uint64_t id = this->SelectBackend();
+    SimulatedBackend& backend = this->Backends.at(id);
     switch (this->Random.below(4)) {
       case 0: {
         const std::uint64_t added = this->Backends.rbegin()->first + 1;
-        this->Note("add " + std::to_string(added));
+        this->AddTrace("add " + std::to_string(added));
         this->Backends[added] = {};
         this->Register(added);
         return;
       }
       case 1:
-        this->Note("leave " + std::to_string(id));
+        this->AddTrace("leave " + std::to_string(id));
         backend.Leaving = true;
         break;
       default:
-        this->Note("remove " + std::to_string(id));
+        this->AddTrace("remove " + std::to_string(id));
         backend.Alive = false;
         this->Store.put(KeyOf(id), core::RemovedItem{});
         return;
@@ -243,58 +247,58 @@
         break;
       case 3:
         this->Version += 1 + this->Random.below(3);
-        this->Note("version " + std::to_string(this->Version));
+        this->AddTrace("version " + std::to_string(this->Version));
         this->WriteRoutes();
         break;
       case 4: {
         const std::string zone = "b";
-        this->ZonesOut[zone] = !this->ZonesOut[zone];
-        this->Note("zone");
-        this->WriteZone(zone);
+        this->EvacuatedZones[zone] = !this->EvacuatedZones[zone];
+        this->AddTrace("zone");
+        this->WriteZoneState(zone);
         break;
       }
       case 5:
-        this->Note("copy");
+        this->AddTrace("copy");
         this->Copy = this->Store.copy();
         break;
       case 6:
-        this->ComeBack();
+        this->RestoreStore();
         break;
       case 7:
-        this->Note("compact");
+        this->AddTrace("compact");
         this->Store.compact();
         break;
       case 8:
-        this->Restart(this->DrawNode());
+        this->Restart(this->SelectNode());
         break;
       default:
-        this->Spoil(this->DrawNode());
+        this->InjectFault(this->SelectNode());
     }
   }
 
   /// A fault of one daemon, until all heal.
-  void Spoil(Node& node)
+  void InjectFault(Node& node)
   {
     switch (this->Random.below(4)) {
       case 0:
-        this->Note("frozen");
+        this->AddTrace("frozen");
         node.Alive = false;
         break;
       case 1:
-        this->Note("silent store");
-        node.StoreSilent = true;
+        this->AddTrace("silent store");
+        node.StoreUnresponsive = true;
         break;
       case 2:
-        this->Note("refusing store");
+        this->AddTrace("refusing store");
         node.StoreRefuses = true;
         break;
       default:
-        this->Note("cut off");
-        node.PeersCut = true;
+        this->AddTrace("cut off");
+        node.IsPartitioned = true;
     }
   }
 
-  void Heal()
+  void ClearFaults()
   {
     for (auto& node : this->Nodes) {
       if (!node->Alive) {
@@ -303,9 +307,10 @@
         node->Reader.onResume(node->Clock(this->Now));
         node->Pending.reset();
       }
-      node->StoreSilent = node->StoreRefuses = node->PeersCut = false;
+      node->StoreUnresponsive = node->StoreRefuses = node->IsPartitioned =
+        false;
     }
-    std::vector<Message> late = std::exchange(this->Waiting, {});
+    std::vector<Message> late = std::exchange(this->QueuedMessages, {});
     for (const Message& message : late) {
       this->Deliver(message);
     }
@@ -319,13 +324,13 @@
       {
         BOOST_TEST(node.Routes.version() == this->Version);
         BOOST_TEST(node.Backends.evacuations().IsEvacuated("b") ==
-                   this->ZonesOut["b"]);
+                   this->EvacuatedZones["b"]);
         for (const auto& [id, backend] : this->Backends) {
-          const bool takes =
+          const bool acceptsNewFlows =
             node.Backends.takesNewFlows(core::BackendId{ id });
           BOOST_TEST_CONTEXT("back end " << id)
           {
-            BOOST_TEST(takes == (backend.Alive && !backend.Leaving));
+            BOOST_TEST(acceptsNewFlows == (backend.Alive && !backend.Leaving));
           }
         }
       }
@@ -345,16 +350,16 @@
     }
   }
 
-  void Play(int rounds)
+  void RunRounds(int rounds)
   {
     this->RunAll(2s);
     for (int round = 0; round < rounds; ++round) {
-      for (std::size_t i = 0; i < kChangesOfRound; ++i) {
+      for (std::size_t i = 0; i < kChangesPerRound; ++i) {
         this->Change();
         this->RunAll(core::Duration(this->Random.below(600) * 1000));
       }
-      this->Heal();
-      this->RunAll(kSettled);
+      this->ClearFaults();
+      this->RunAll(kSettlingTime);
       this->Check();
     }
   }
@@ -362,14 +367,14 @@
 
 BOOST_AUTO_TEST_SUITE(StoreEraStatefulTest)
 
-BOOST_AUTO_TEST_CASE(views_end_as_the_store_whatever_copies_came_back)
+BOOST_AUTO_TEST_CASE(views_converge_to_the_restored_store)
 {
   constexpr std::uint64_t kSeeds = 60;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     BOOST_TEST_CONTEXT("seed " << seed)
     {
-      EraWorld world(seed);
-      world.Play(2);
+      StoreEraScenario world(seed);
+      world.RunRounds(2);
     }
   }
 }
--- a/tests/core/relay/store_era_test.cc
+++ b/tests/core/relay/store_era_test.cc
@@ -23,13 +23,13 @@
 namespace {
 
 /// In which a confirmed change has to be in force at every daemon.
-constexpr core::Duration kInForceWithin = 3s;
+constexpr core::Duration kPropagationLimit = 3s;
 
-struct ReturningStore : RelayFixture
+struct RestoredStoreFixture : RelayFixture
 {
   /// Four versions are in force everywhere; then the store is away, comes back
   /// from a copy that has none of them, and the last one is written again.
-  void ComeBackOlder()
+  void RestoreOlderCopy()
   {
     this->Run(5s);
     const FakeStore::Copy copy = this->Store.copy();
@@ -38,15 +38,15 @@
       this->Run(1s);
     }
     this->Refusal = core::ReadOutcome::kConnectionLost;
-    this->RefuseAll(true);
+    this->SetStoreRefusesAll(true);
     this->Run(2s);
     this->Store.comeBackFrom(copy);
     this->ChangeRoutes(11);
-    this->RefuseAll(false);
+    this->SetStoreRefusesAll(false);
     this->Run(4s);
   }
 
-  void AnnounceEnd(std::uint64_t id)
+  void AnnounceShutdown(std::uint64_t id)
   {
     core::Registration registration =
       makeRegistration(id, "web", 1, static_cast<std::uint8_t>(id));
@@ -54,7 +54,7 @@
     this->Store.put("servers/" + std::to_string(id), registration);
   }
 
-  std::size_t CountThatPlaceOn(std::uint64_t id) const
+  std::size_t CountAcceptingNewFlows(std::uint64_t id) const
   {
     return static_cast<std::size_t>(
       std::count_if(this->Nodes.begin(),
@@ -66,28 +66,28 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(StoreEraTest, ReturningStore)
+BOOST_FIXTURE_TEST_SUITE(StoreEraTest, RestoredStoreFixture)
 
-BOOST_AUTO_TEST_CASE(an_end_announced_after_the_return_reaches_every_daemon)
+BOOST_AUTO_TEST_CASE(shutdown_announced_after_the_restore_reaches_every_daemon)
 {
-  this->ComeBackOlder();
-  this->AnnounceEnd(1);
-  this->Run(kInForceWithin);
-  BOOST_TEST(this->CountThatPlaceOn(1) == 0U);
+  this->RestoreOlderCopy();
+  this->AnnounceShutdown(1);
+  this->Run(kPropagationLimit);
+  BOOST_TEST(this->CountAcceptingNewFlows(1) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(a_version_written_after_the_return_is_in_force_in_time)
+BOOST_AUTO_TEST_CASE(version_written_after_the_restore_is_applied_in_time)
 {
-  this->ComeBackOlder();
+  this->RestoreOlderCopy();
   this->ChangeRoutes(12);
-  BOOST_TEST((this->TimeUntilInForce(12) <= kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(12) <= kPropagationLimit));
 }
 
 // Each listing was followed by a watch after a revision that the store did not
 // have yet, and that by another listing: sixty pairs a second.
-BOOST_AUTO_TEST_CASE(a_return_costs_a_few_reads)
+BOOST_AUTO_TEST_CASE(restore_costs_few_reads)
 {
-  this->ComeBackOlder();
+  this->RestoreOlderCopy();
   const std::uint64_t calls = this->CountCalls();
   this->Run(5s);
   BOOST_TEST(this->CountCalls() - calls <= 5 * this->Nodes.size());
@@ -97,7 +97,7 @@
 // had before: at the daemon that reads the store nothing changed, so it told
 // nobody.
 BOOST_AUTO_TEST_CASE(
-  a_daemon_that_began_with_the_copy_gets_the_version_written_again)
+  daemon_started_after_the_restore_receives_the_rewritten_version)
 {
   this->Run(5s);
   const FakeStore::Copy copy = this->Store.copy();
@@ -105,16 +105,16 @@
   this->Run(2s);
   this->Store.comeBackFrom(copy);
   this->Run(2s);
-  this->Grow(13);
+  this->GrowTo(13);
   this->Run(2s);
   BOOST_TEST(this->At(12).Routes.version() == 7U);
   this->ChangeRoutes(8);
-  BOOST_TEST((this->TimeUntilInForce(8) <= kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(8) <= kPropagationLimit));
 }
 
 // A return tells nobody of what the copy has as it was known: 450 KB for each
 // daemon where there are 10,000 back ends.
-BOOST_AUTO_TEST_CASE(what_the_copy_has_unchanged_is_not_told_again)
+BOOST_AUTO_TEST_CASE(unchanged_registrations_are_not_sent_again)
 {
   this->AddBackends(200);
   this->Run(5s);
@@ -123,13 +123,13 @@
   this->Run(2s);
   this->Store.comeBackFrom(copy);
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) <= kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(9) <= kPropagationLimit));
   const core::Revision before = this->At(0).Reader.history().GetGap().From;
   BOOST_TEST(this->At(0).Backends.changesSince(before).dated.empty());
   BOOST_TEST(this->At(0).Backends.size() == 201U);
 }
 
-BOOST_AUTO_TEST_CASE(a_version_that_the_copy_has_unchanged_is_not_told_again)
+BOOST_AUTO_TEST_CASE(unchanged_version_is_not_sent_again)
 {
   this->ChangeRoutes(8);
   this->Run(5s);
@@ -144,61 +144,60 @@
 
 /// The seeds are cut off while a back end is added that only the others learn
 /// of; nobody has it any more when all meet again.
-struct LostAddition : ReturningStore
+struct LostRegistrationFixture : RestoredStoreFixture
 {
   FakeStore::Copy Before;
 
-  void AddBehindTheSeeds()
+  void AddUnseenBySeeds()
   {
     this->Run(5s);
     this->Before = this->Store.copy();
     for (std::size_t i = 0; i < kSeeds; ++i) {
-      this->At(i).PeersCut = this->At(i).StoreSilent = true;
+      this->At(i).IsPartitioned = this->At(i).StoreUnresponsive = true;
     }
     this->Store.put("servers/2", makeRegistration(2, "web", 1, 2));
     this->Run(5s);
-    BOOST_TEST(this->CountThatPlaceOn(2) == this->Nodes.size() - kSeeds);
-    this->RefuseAll(true);
+    BOOST_TEST(this->CountAcceptingNewFlows(2) == this->Nodes.size() - kSeeds);
+    this->SetStoreRefusesAll(true);
   }
 
   /// The seeds are heard before the others read.
-  void Meet()
+  void EndPartition()
   {
     for (std::size_t i = 0; i < kSeeds; ++i) {
       Node& seed = this->At(i);
-      seed.PeersCut = seed.StoreSilent = seed.StoreRefuses = false;
+      seed.IsPartitioned = seed.StoreUnresponsive = seed.StoreRefuses = false;
     }
     this->Run(2s);
-    this->RefuseAll(false);
-    this->Run(kInForceWithin);
+    this->SetStoreRefusesAll(false);
+    this->Run(kPropagationLimit);
   }
 };
 
-BOOST_FIXTURE_TEST_CASE(
-  a_back_end_that_only_followers_knew_is_forgotten_with_the_copy,
-  LostAddition)
+BOOST_FIXTURE_TEST_CASE(backend_lost_by_the_restore_is_removed_from_followers,
+                        LostRegistrationFixture)
 {
-  this->AddBehindTheSeeds();
+  this->AddUnseenBySeeds();
   this->Store.comeBackFrom(this->Before);
   this->Store.put("servers/3", makeRegistration(3, "web", 1, 3));
-  this->Meet();
-  BOOST_TEST(this->CountThatPlaceOn(2) == 0U);
-  BOOST_TEST(this->CountThatPlaceOn(3) == this->Nodes.size());
+  this->EndPartition();
+  BOOST_TEST(this->CountAcceptingNewFlows(2) == 0U);
+  BOOST_TEST(this->CountAcceptingNewFlows(3) == this->Nodes.size());
 }
 
 // The same without a copy: who reads has lost the history of a back end that
 // came and went, and compares a listing with a view that never had it.
 BOOST_FIXTURE_TEST_CASE(
-  a_back_end_that_only_followers_knew_is_forgotten_with_the_history,
-  LostAddition)
+  backend_lost_with_the_history_is_removed_from_followers,
+  LostRegistrationFixture)
 {
-  this->AddBehindTheSeeds();
+  this->AddUnseenBySeeds();
   this->Store.put("servers/2", core::RemovedItem{});
   this->Store.put("servers/3", makeRegistration(3, "web", 1, 3));
   this->Store.compact();
-  this->Meet();
-  BOOST_TEST(this->CountThatPlaceOn(2) == 0U);
-  BOOST_TEST(this->CountThatPlaceOn(3) == this->Nodes.size());
+  this->EndPartition();
+  BOOST_TEST(this->CountAcceptingNewFlows(2) == 0U);
+  BOOST_TEST(this->CountAcceptingNewFlows(3) == this->Nodes.size());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/relay/view_fill_test.cc
+++ b/tests/core/relay/view_backfill_test.cc
@@ -1,5 +1,5 @@
 /// How a large fleet's views get whole: one reads, the others ask each other.
-#include "core/relay/view_fill.h"
+#include "core/relay/view_backfill.h"
 
 #include "core/constants.h"
 #include "core/relay/relay_fixture.h"
@@ -10,11 +10,11 @@
 constexpr std::size_t kDaemons = 40;
 constexpr std::uint64_t kManyBackends = 6000;
 
-struct FillFixture : RelayFixture
+struct BackfillFixture : RelayFixture
 {
   std::uint64_t Backends = 0;
 
-  void AddMany(std::uint64_t count)
+  void AddBackendsWithPages(std::uint64_t count)
   {
     for (std::uint64_t i = 0; i < count; ++i) {
       const std::uint64_t id = 100 + this->Backends++;
@@ -28,12 +28,12 @@
   }
 
   /// All daemons lose what they know and start at one moment.
-  void LosePower()
+  void RestartAll()
   {
     const std::size_t count = this->Nodes.size();
     this->Nodes.clear();
-    this->Waiting.clear();
-    this->Grow(count);
+    this->QueuedMessages.clear();
+    this->GrowTo(count);
     std::uint32_t place = 0;
     for (auto& node : this->Nodes) {
       node->Reader.setSampled(place += 6);
@@ -42,12 +42,12 @@
 
   void Start(std::uint64_t backends)
   {
-    this->AddMany(backends);
-    this->Grow(kDaemons);
-    this->LosePower();
+    this->AddBackendsWithPages(backends);
+    this->GrowTo(kDaemons);
+    this->RestartAll();
   }
 
-  bool AreAllWhole() const
+  bool AreAllViewsFull() const
   {
     return std::all_of(
       this->Nodes.begin(), this->Nodes.end(), [](const auto& node) {
@@ -55,10 +55,10 @@
       });
   }
 
-  core::Duration TimeUntilWhole()
+  core::Duration TimeUntilFullViews()
   {
     const core::Time began = this->Now;
-    while (!this->AreAllWhole()) {
+    while (!this->AreAllViewsFull()) {
       this->Step();
       BOOST_REQUIRE((this->Now - began < 60s));
     }
@@ -80,12 +80,12 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(ViewFillTest, FillFixture)
+BOOST_FIXTURE_TEST_SUITE(ViewBackfillTest, BackfillFixture)
 
 // 985 daemons that lost power together read 10,000 registrations each and
 // served again after 16 s (cflc-quotes-fleet scale-1): the store's link bore
 // daemons times back ends.
-BOOST_AUTO_TEST_CASE(what_a_start_reads_does_not_grow_with_the_back_ends)
+BOOST_AUTO_TEST_CASE(items_read_at_start_do_not_grow_with_backends)
 {
   this->Start(kManyBackends);
   this->Run(400ms);
@@ -93,7 +93,7 @@
     BOOST_TEST(node->Reader.isComplete());
     BOOST_TEST(this->CountActive(*node) > 0U);
   }
-  this->TimeUntilWhole();
+  this->TimeUntilFullViews();
   const std::uint64_t items = this->CountItemsRead();
   const std::uint64_t forSamples = kDaemons * 8 * core::kPlacementLooks;
   const std::uint64_t wholeListings = 2 * kSeeds * (kManyBackends + 1);
@@ -102,10 +102,10 @@
   BOOST_TEST(items < kDaemons * kManyBackends / 2);
 }
 
-BOOST_AUTO_TEST_CASE(whole_views_spread_within_seconds)
+BOOST_AUTO_TEST_CASE(full_views_spread_within_seconds)
 {
   this->Start(kManyBackends);
-  BOOST_TEST((this->TimeUntilWhole() < 5s));
+  BOOST_TEST((this->TimeUntilFullViews() < 5s));
   for (auto& node : this->Nodes) {
     BOOST_TEST(this->CountActive(*node) == kManyBackends + 1);
   }
@@ -113,7 +113,7 @@
 
 // The samples of all daemons cover the back ends evenly: none is left out of
 // what the fleet knows, beyond chance, and none is known to most of it.
-BOOST_AUTO_TEST_CASE(samples_differ_from_daemon_to_daemon)
+BOOST_AUTO_TEST_CASE(samples_differ_between_daemons)
 {
   this->Start(kManyBackends);
   this->Run(200ms);
@@ -131,21 +131,21 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(without_seeds_some_read_the_store_and_give_to_the_others)
+BOOST_AUTO_TEST_CASE(without_seeds_few_daemons_read_the_store)
 {
-  this->AddMany(kManyBackends);
-  this->Grow(kDaemons);
-  this->LosePower();
+  this->AddBackendsWithPages(kManyBackends);
+  this->GrowTo(kDaemons);
+  this->RestartAll();
   for (std::size_t i = 0; i < kSeeds; ++i) {
     this->At(i).Alive = false;
   }
-  BOOST_TEST((this->TimeUntilWhole() < 10s));
+  BOOST_TEST((this->TimeUntilFullViews() < 10s));
   BOOST_TEST(this->CountItemsRead() < kDaemons * kManyBackends / 2);
 }
 
 // A removal that a daemon heard while it knew nothing of the back end must
 // outlast the pages that still hold it.
-BOOST_AUTO_TEST_CASE(changes_that_come_while_views_fill_hold_everywhere)
+BOOST_AUTO_TEST_CASE(changes_during_backfill_are_kept)
 {
   this->Start(kManyBackends);
   for (std::uint64_t step = 0; step < 30; ++step) {
@@ -153,39 +153,39 @@
     this->Store.put(key, core::RemovedItem{});
     this->Step();
   }
-  this->TimeUntilWhole();
+  this->TimeUntilFullViews();
   this->Run(3s);
   for (auto& node : this->Nodes) {
     BOOST_TEST(this->CountActive(*node) == kManyBackends + 1 - 30);
   }
 }
 
-BOOST_AUTO_TEST_CASE(lost_pages_are_asked_for_again)
+BOOST_AUTO_TEST_CASE(lost_pages_are_requested_again)
 {
-  this->Lost = 0;
+  this->DropInterval = 0;
   this->Start(kManyBackends);
   this->Run(400ms);
-  this->At(9).PeersCut = true;
+  this->At(9).IsPartitioned = true;
   this->Run(2s);
   BOOST_TEST(!this->At(9).Reader.isWhole());
-  this->At(9).PeersCut = false;
-  BOOST_TEST((this->TimeUntilWhole() < 10s));
+  this->At(9).IsPartitioned = false;
+  BOOST_TEST((this->TimeUntilFullViews() < 10s));
 }
 
 // While the store is away, who lacks back ends gets them from peers alone.
-BOOST_AUTO_TEST_CASE(a_daemon_that_starts_without_a_whole_view_needs_no_store)
+BOOST_AUTO_TEST_CASE(backfill_works_while_the_store_is_unavailable)
 {
   this->Start(kManyBackends);
-  this->TimeUntilWhole();
+  this->TimeUntilFullViews();
   this->Run(3s);
   Node& late = this->At(20);
   const std::uint64_t before = this->CountItemsRead();
   late.ItemsRead = 0;
   this->Nodes[20] = std::make_unique<Node>(21, 500s);
-  this->Grow(kDaemons);
+  this->GrowTo(kDaemons);
   this->At(20).Reader.setSampled(77);
   this->Run(400ms);
-  this->RefuseAll(true);
+  this->SetStoreRefusesAll(true);
   this->Run(2s);
   BOOST_TEST(this->At(20).Reader.isWhole());
   BOOST_TEST(this->CountItemsRead() < before + 8 * core::kPlacementLooks);
@@ -193,27 +193,27 @@
 
 // One that served 900 in turn gave each a page now and then, and nobody else
 // had a whole view for ten seconds.
-BOOST_AUTO_TEST_CASE(few_are_served_at_once_and_the_others_are_told_of_them)
+BOOST_AUTO_TEST_CASE(concurrent_recipients_are_limited_and_others_are_referred)
 {
   this->Start(kManyBackends);
-  this->TimeUntilWhole();
-  Node& giver = this->At(5);
+  this->TimeUntilFullViews();
+  Node& sender = this->At(5);
   this->Now += 5s;
-  const core::Time clock = giver.Clock(this->Now);
-  std::size_t given = 0;
+  const core::Time clock = sender.Clock(this->Now);
+  std::size_t sent = 0;
   for (std::size_t asking = 10; asking < 30; ++asking) {
-    giver.Fill.OnRequest({ this->At(asking).Address, "", 0 }, clock);
-    const auto messages = giver.Fill.TakeMessages();
+    sender.Fill.OnRequest({ this->At(asking).Address, "", 0 }, clock);
+    const auto messages = sender.Fill.TakeMessages();
     const auto& page = std::get<core::ViewPage>(messages.at(0).Message);
-    given += page.revision != 0 ? 1 : 0;
+    sent += page.revision != 0 ? 1 : 0;
   }
-  BOOST_TEST(given == 4U);
+  BOOST_TEST(sent == 4U);
   // Who is done makes room, and is told of to those who get nothing.
-  giver.Fill.OnRequest({ this->At(10).Address, "servers/9999", 0 }, clock);
-  giver.Fill.TakeMessages();
-  giver.Fill.OnRequest({ this->At(20).Address, "", 0 }, clock);
-  giver.Fill.OnRequest({ this->At(21).Address, "", 0 }, clock);
-  const auto messages = giver.Fill.TakeMessages();
+  sender.Fill.OnRequest({ this->At(10).Address, "servers/9999", 0 }, clock);
+  sender.Fill.TakeMessages();
+  sender.Fill.OnRequest({ this->At(20).Address, "", 0 }, clock);
+  sender.Fill.OnRequest({ this->At(21).Address, "", 0 }, clock);
+  const auto messages = sender.Fill.TakeMessages();
   BOOST_TEST(std::get<core::ViewPage>(messages.at(0).Message).revision != 0U);
   const auto& refusal = std::get<core::ViewPage>(messages.at(1).Message);
   BOOST_TEST(refusal.revision == 0U);
@@ -223,33 +223,34 @@
 }
 
 // Pages between zones cost; 300 daemons filled each from anywhere.
-BOOST_AUTO_TEST_CASE(who_has_a_nearer_giver_is_mostly_sent_there)
+BOOST_AUTO_TEST_CASE(requester_is_mostly_referred_to_a_closer_peer)
 {
   this->Start(kManyBackends);
-  this->TimeUntilWhole();
-  Node& giver = this->At(5);
+  this->TimeUntilFullViews();
+  Node& sender = this->At(5);
   const core::Endpoint near = endpoint(8, 1, 7720);
   const core::Endpoint asking = endpoint(8, 2, 7720);
-  std::size_t given = 0;
+  std::size_t sent = 0;
   for (int asked = 0; asked < 100; ++asked) {
     this->Now += 1s;
     // A page for the near one, which is then known to be whole.
-    giver.Fill.OnRequest({ near, "servers/9999", 0 }, giver.Clock(this->Now));
-    giver.Fill.TakeMessages();
-    giver.Fill.OnRequest({ asking, "", 0 }, giver.Clock(this->Now));
-    const auto messages = giver.Fill.TakeMessages();
+    sender.Fill.OnRequest({ near, "servers/9999", 0 },
+                          sender.Clock(this->Now));
+    sender.Fill.TakeMessages();
+    sender.Fill.OnRequest({ asking, "", 0 }, sender.Clock(this->Now));
+    const auto messages = sender.Fill.TakeMessages();
     const auto& page = std::get<core::ViewPage>(messages.at(0).Message);
-    given += page.revision != 0 ? 1 : 0;
+    sent += page.revision != 0 ? 1 : 0;
     BOOST_TEST((page.revision != 0 ||
                 std::find(page.whole.begin(), page.whole.end(), near) !=
                   page.whole.end()));
   }
   // The near one may be dead: some are served all the same.
-  BOOST_TEST(given > 5U);
-  BOOST_TEST(given < 50U);
+  BOOST_TEST(sent > 5U);
+  BOOST_TEST(sent < 50U);
 }
 
-BOOST_AUTO_TEST_CASE(a_daemon_without_a_whole_view_gives_no_page)
+BOOST_AUTO_TEST_CASE(daemon_without_a_full_view_sends_no_page)
 {
   this->Start(kManyBackends);
   this->Run(200ms);
@@ -264,7 +265,7 @@
 }
 
 // A giver whose last page was lost takes the daemon that asks again for whole.
-BOOST_AUTO_TEST_CASE(a_refusal_that_names_only_the_asking_daemon_leads_nowhere)
+BOOST_AUTO_TEST_CASE(refusal_naming_only_the_requester_sends_no_request)
 {
   this->Start(kManyBackends);
   this->Run(400ms);
@@ -274,13 +275,13 @@
   refusal.sender = this->At(0).Address;
   refusal.whole = { node.Address };
   this->Now += 1s;
-  this->FillView(node, { this->At(0).Address });
+  this->BackfillView(node, { this->At(0).Address });
   node.Fill.TakeMessages();
   BOOST_TEST(!node.Fill.OnPage(refusal, node.Clock(this->Now)));
   BOOST_TEST(node.Fill.TakeMessages().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_page_that_is_older_than_the_view_is_not_taken)
+BOOST_AUTO_TEST_CASE(page_older_than_the_view_is_rejected)
 {
   this->Start(kManyBackends);
   this->Run(400ms);
@@ -293,7 +294,7 @@
   page.isLast = true;
   BOOST_TEST(!node.Fill.OnPage(page, node.Clock(this->Now)));
   BOOST_TEST(!node.Reader.isWhole());
-  BOOST_TEST(node.Fill.GetCounters().TooOld == 1U);
+  BOOST_TEST(node.Fill.GetCounters().StalePages == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/relay/view_difference_test.cc
+++ b/tests/core/relay/view_difference_test.cc
@@ -34,8 +34,8 @@
   std::vector<std::string> KeysSince(core::Revision have)
   {
     std::vector<std::string> keys;
-    const auto excerpt = this->Difference.Since(have, 1000);
-    for (const core::StoreChange& change : excerpt->Changes) {
+    const auto range = this->Difference.Since(have, 1000);
+    for (const core::StoreChange& change : range->Changes) {
       keys.push_back(change.key);
     }
     return keys;
@@ -44,7 +44,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ViewDifferenceTest, DifferenceFixture)
 
-BOOST_AUTO_TEST_CASE(holds_what_is_newer_in_the_order_of_revisions)
+BOOST_AUTO_TEST_CASE(newer_changes_are_ordered_by_revision)
 {
   this->Put(1, 30);
   this->Put(2, 10);
@@ -53,14 +53,14 @@
   BOOST_TEST(this->KeysSince(15) ==
              (std::vector<std::string>{ KeyOf(3), KeyOf(1), KeyOf(2) }));
   BOOST_TEST(this->KeysSince(40).empty());
-  const auto excerpt = this->Difference.Since(15, 1000);
-  BOOST_TEST(excerpt->Reached == 1000U);
+  const auto range = this->Difference.Since(15, 1000);
+  BOOST_TEST(range->EndRevision == 1000U);
   BOOST_TEST(
-    std::holds_alternative<core::RemovedItem>(excerpt->Changes.back().item));
+    std::holds_alternative<core::RemovedItem>(range->Changes.back().item));
 }
 
 // Who takes a part goes on elsewhere, where it was told before its revision.
-BOOST_AUTO_TEST_CASE(what_a_listing_found_gone_comes_first)
+BOOST_AUTO_TEST_CASE(removals_detected_by_a_listing_come_first)
 {
   for (std::uint64_t id = 1; id <= 3000; ++id) {
     this->Put(id, id);
@@ -70,14 +70,14 @@
     keys.insert(KeyOf(id));
   }
   this->Backends.retainOnly(keys, 3500, this->Now);
-  const auto excerpt = this->Difference.Since(5, 3500);
-  BOOST_REQUIRE(excerpt.has_value());
-  BOOST_TEST(excerpt->Changes.size() <= core::kHeaviestDifference + 1);
-  BOOST_TEST(excerpt->Changes.front().key == KeyOf(3000));
-  BOOST_TEST(excerpt->Reached < 3500U);
+  const auto range = this->Difference.Since(5, 3500);
+  BOOST_REQUIRE(range.has_value());
+  BOOST_TEST(range->Changes.size() <= core::kMaxDifferenceItems + 1);
+  BOOST_TEST(range->Changes.front().key == KeyOf(3000));
+  BOOST_TEST(range->EndRevision < 3500U);
 }
 
-BOOST_AUTO_TEST_CASE(parts_end_at_revisions_and_lead_to_the_whole)
+BOOST_AUTO_TEST_CASE(parts_end_at_revisions_and_are_complete_together)
 {
   for (std::uint64_t id = 1; id <= 5000; ++id) {
     this->Put(id, 1 + id / 7);
@@ -87,37 +87,37 @@
   core::Revision have = 0;
   std::size_t parts = 0;
   while (have < 1000) {
-    const auto excerpt = this->Difference.Since(have, 1000);
-    BOOST_REQUIRE(excerpt.has_value());
-    BOOST_REQUIRE(excerpt->Reached > have);
-    BOOST_TEST(excerpt->Changes.size() < core::kHeaviestDifference + 7);
-    for (const core::StoreChange& change : excerpt->Changes) {
+    const auto range = this->Difference.Since(have, 1000);
+    BOOST_REQUIRE(range.has_value());
+    BOOST_REQUIRE(range->EndRevision > have);
+    BOOST_TEST(range->Changes.size() < core::kMaxDifferenceItems + 7);
+    for (const core::StoreChange& change : range->Changes) {
       other.put(change.key,
                 std::get<core::Registration>(change.item),
                 change.revision,
                 this->Now);
     }
-    have = excerpt->Reached;
+    have = range->EndRevision;
     ++parts;
   }
   BOOST_TEST(other.size() == 5000U);
   BOOST_TEST(parts == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(routes_and_evacuations_belong_to_it)
+BOOST_AUTO_TEST_CASE(routes_and_evacuations_are_included)
 {
   this->TakeRoutes(makeRoutes(7, { { 1, "web" } }), 50);
   this->Backends.putEvacuation("op/evacuate/a", "a", 60);
   this->Backends.putEvacuation("op/evacuate/b", "b", 61);
   this->Backends.removeEvacuation("op/evacuate/b", 62);
-  const auto excerpt = this->Difference.Since(49, 1000);
-  BOOST_REQUIRE(excerpt->Changes.size() == 3U);
+  const auto range = this->Difference.Since(49, 1000);
+  BOOST_REQUIRE(range->Changes.size() == 3U);
   BOOST_TEST(
-    std::holds_alternative<core::RouteSet>(excerpt->Changes.back().item));
+    std::holds_alternative<core::RouteSet>(range->Changes.back().item));
   BOOST_TEST(this->Difference.Since(60, 1000)->Changes.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(what_was_ordered_before_does_not_hide_later_changes)
+BOOST_AUTO_TEST_CASE(cached_changes_do_not_hide_later_changes)
 {
   for (std::uint64_t id = 1; id <= 20; ++id) {
     this->Put(id, id);
@@ -137,7 +137,7 @@
 
 // 985 daemons that asked three seeds got 25 KB of routes each: versions were
 // nine seconds late again (cflc-quotes-fleet scale-2, one run of two).
-BOOST_AUTO_TEST_CASE(versions_are_told_by_what_they_changed)
+BOOST_AUTO_TEST_CASE(versions_are_sent_as_deltas)
 {
   std::vector<std::pair<std::uint8_t, std::string>> services;
   for (std::uint8_t host = 1; host <= 200; ++host) {
@@ -148,12 +148,12 @@
   this->TakeRoutes(makeRoutes(9, services), 60);
   services.pop_back();
   this->TakeRoutes(makeRoutes(12, services), 70);
-  const auto excerpt = this->Difference.Since(55, 1000);
-  BOOST_REQUIRE(excerpt->Changes.size() == 2U);
-  const auto& first = std::get<core::RouteDelta>(excerpt->Changes[0].item);
+  const auto range = this->Difference.Since(55, 1000);
+  BOOST_REQUIRE(range->Changes.size() == 2U);
+  const auto& first = std::get<core::RouteDelta>(range->Changes[0].item);
   BOOST_TEST(first.from == 7U);
   BOOST_TEST(first.changed.size() == 1U);
-  const auto& second = std::get<core::RouteDelta>(excerpt->Changes[1].item);
+  const auto& second = std::get<core::RouteDelta>(range->Changes[1].item);
   BOOST_TEST(second.from == 9U);
   BOOST_TEST(second.dropped.size() == 1U);
   BOOST_TEST(this->Difference.Since(60, 1000)->Changes.size() == 1U);
@@ -163,10 +163,10 @@
   BOOST_TEST(std::holds_alternative<core::RouteSet>(all->Changes[0].item));
 }
 
-BOOST_AUTO_TEST_CASE(a_set_of_very_many_routes_is_left_to_the_store)
+BOOST_AUTO_TEST_CASE(oversized_route_set_is_left_to_the_store)
 {
   core::RouteSet routes = makeRoutes(7, {});
-  while (routes.routes.size() <= core::kMostRoutesTold) {
+  while (routes.routes.size() <= core::kMaxRelayedRoutes) {
     const auto port = static_cast<std::uint16_t>(routes.routes.size() + 1);
     routes.routes.push_back({ "r", endpoint(90, 1, port), { { "web", 1 } } });
   }
@@ -175,7 +175,7 @@
   BOOST_TEST(this->Difference.Since(50, 1000).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_told_where_departures_were_forgotten)
+BOOST_AUTO_TEST_CASE(no_difference_after_removals_were_discarded)
 {
   this->Put(1, 10);
   this->Backends.remove(KeyOf(1), 20, this->Now);
@@ -194,9 +194,9 @@
   LostHistoryFixture()
   {
     this->AddBackends(3000);
-    this->Grow(40);
+    this->GrowTo(40);
     for (auto& node : this->Nodes) {
-      node->Relay.SetTiming(core::RelayTiming::Within(8s));
+      node->Relay.SetTiming(core::RelayTiming::ForBound(8s));
     }
     this->Run(8s);
   }
@@ -211,10 +211,10 @@
   }
 
   /// No watch is told of the changes, nor can one be from before them.
-  void ChangeMuchUnheard(core::ConfigurationVersion version)
+  void ApplyUnseenChanges(core::ConfigurationVersion version)
   {
     for (auto& node : this->Nodes) {
-      node->StoreSilent = true;
+      node->StoreUnresponsive = true;
     }
     for (std::uint64_t id = 100; id < 700; ++id) {
       this->Store.put("servers/" + std::to_string(id), core::RemovedItem{});
@@ -230,7 +230,7 @@
     this->Run(1s);
     this->Store.compact();
     for (auto& node : this->Nodes) {
-      node->StoreSilent = false;
+      node->StoreUnresponsive = false;
     }
   }
 };
@@ -240,11 +240,11 @@
 // 985 daemons listed 10,000 back ends each, 24,000 reads; 67 requests were
 // still handled by a version that was nine seconds old (cflc-quotes-fleet
 // scale-2: CONFIG broken).
-BOOST_AUTO_TEST_CASE(few_list_again_and_tell_the_others)
+BOOST_AUTO_TEST_CASE(few_daemons_list_again_after_lost_history)
 {
   const std::uint64_t before = this->CountItemsRead();
-  this->ChangeMuchUnheard(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < 4s));
+  this->ApplyUnseenChanges(9);
+  BOOST_TEST((this->TimeUntilApplied(9) < 4s));
   this->Run(4s);
   const std::uint64_t read = this->CountItemsRead() - before;
   BOOST_TEST(read < 8U * 3000U);
@@ -257,22 +257,22 @@
 // Who follows a follower hears no seed while all is well, and listed at once:
 // its listing kept the store busy, and refused what peers told (985 daemons,
 // scale-2, one run of two).
-BOOST_AUTO_TEST_CASE(who_hears_no_seed_waits_for_its_peers_as_well)
+BOOST_AUTO_TEST_CASE(followers_of_followers_wait_for_peers)
 {
-  this->Grow(150);
+  this->GrowTo(150);
   for (auto& node : this->Nodes) {
-    node->Relay.SetTiming(core::RelayTiming::Within(8s));
+    node->Relay.SetTiming(core::RelayTiming::ForBound(8s));
   }
   this->Run(8s);
   const std::uint64_t before = this->CountItemsRead();
-  this->ChangeMuchUnheard(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < 4s));
+  this->ApplyUnseenChanges(9);
+  BOOST_TEST((this->TimeUntilApplied(9) < 4s));
   this->Run(4s);
   BOOST_TEST(this->CountItemsRead() - before < 12U * 3000U);
 }
 
 // A listing that has begun ends where a peer tells what is missing.
-BOOST_AUTO_TEST_CASE(a_listing_under_way_takes_the_changes_of_a_peer)
+BOOST_AUTO_TEST_CASE(listing_in_progress_applies_changes_of_a_peer)
 {
   Node& node = this->At(20);
   const core::Time clock = node.Clock(this->Now);
@@ -297,7 +297,7 @@
 // Daemons that all had found the history gone confirmed each other's old
 // views, and none went on with its listing: versions reached 20 of 111 daemons
 // in nine seconds (scale-2, a trial).
-BOOST_AUTO_TEST_CASE(an_old_view_ends_no_listing)
+BOOST_AUTO_TEST_CASE(older_confirmation_does_not_end_a_listing)
 {
   Node& node = this->At(20);
   const core::Time clock = node.Clock(this->Now);
@@ -315,19 +315,19 @@
   BOOST_TEST(!node.Reader.isListing());
 }
 
-BOOST_AUTO_TEST_CASE(a_strict_bound_leaves_no_time_to_wait_for_peers)
+BOOST_AUTO_TEST_CASE(strict_bound_allows_no_wait_for_peers)
 {
   for (auto& node : this->Nodes) {
-    node->Relay.SetTiming(core::RelayTiming::Within(3s));
+    node->Relay.SetTiming(core::RelayTiming::ForBound(3s));
   }
-  this->ChangeMuchUnheard(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < 3s));
+  this->ApplyUnseenChanges(9);
+  BOOST_TEST((this->TimeUntilApplied(9) < 3s));
 }
 
 // Where 10,000 registrations lapsed and came back the reader took 500 changes
 // a second, and a version that was written after them was in force nowhere
 // eleven seconds later (all_lapse_under_load on cflc-quotes-fleet).
-BOOST_AUTO_TEST_CASE(a_flood_of_changes_delays_no_version)
+BOOST_AUTO_TEST_CASE(many_changes_do_not_delay_a_version)
 {
   this->Store.watchSize = core::kItemsOfStorePage;
   for (std::uint64_t id = 10; id < 3010; ++id) {
@@ -335,7 +335,7 @@
   }
   this->AddBackends(3000);
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < 3s));
+  BOOST_TEST((this->TimeUntilApplied(9) < 3s));
   this->Run(2s);
   for (auto& node : this->Nodes) {
     BOOST_TEST(node->Backends.activeCount() == 3001U);
@@ -343,12 +343,12 @@
 }
 
 // Each of the others would have read it from the store.
-BOOST_AUTO_TEST_CASE(a_version_with_many_routes_is_passed_on)
+BOOST_AUTO_TEST_CASE(version_with_many_routes_is_propagated)
 {
   this->Run(2s);
   const std::uint64_t before = this->CountCalls();
   this->AddManyRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < 2s));
+  BOOST_TEST((this->TimeUntilApplied(9) < 2s));
   this->Run(2s);
   BOOST_TEST(this->CountCalls() - before < 20U);
 }
--- a/tests/core/relay/view_relay_test.cc
+++ b/tests/core/relay/view_relay_test.cc
@@ -10,7 +10,7 @@
 using core::UpdateOutcome;
 
 /// Changes must be in force within 3 s on every daemon that is in touch.
-constexpr core::Duration kInForceWithin = 3s;
+constexpr core::Duration kPropagationLimit = 3s;
 
 BOOST_FIXTURE_TEST_SUITE(ViewRelayTest, RelayFixture)
 
@@ -29,13 +29,13 @@
   BOOST_TEST(this->CountCalls() - before <= 14U);
 }
 
-BOOST_AUTO_TEST_CASE(a_change_reaches_all_at_once)
+BOOST_AUTO_TEST_CASE(change_reaches_all_daemons)
 {
   this->Run(5s);
   this->ChangeRoutes(9);
   this->Store.put("servers/2", makeRegistration(2, "web", 1, 2));
   this->Store.put("servers/1", core::RemovedItem{});
-  BOOST_TEST((this->TimeUntilInForce(9) <= 2 * kStep));
+  BOOST_TEST((this->TimeUntilApplied(9) <= 2 * kStep));
   this->Run(kStep);
   for (auto& node : this->Nodes) {
     BOOST_TEST(node->Backends.activeCount() == 1U);
@@ -43,25 +43,25 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_readers_death_is_made_good_within_the_bound)
+BOOST_AUTO_TEST_CASE(failed_reader_is_replaced_within_the_limit)
 {
   this->Run(5s);
   BOOST_REQUIRE(this->Readers().size() == 1U);
   this->Readers()[0]->Alive = false;
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(9) < kPropagationLimit));
   this->Run(5s);
   BOOST_TEST(this->CountReading() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(all_seeds_die_and_the_others_agree_on_few_readers)
+BOOST_AUTO_TEST_CASE(few_readers_are_elected_after_all_seeds_fail)
 {
   this->Run(5s);
   for (std::size_t i = 0; i < kSeeds; ++i) {
     this->At(i).Alive = false;
   }
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(9) < kPropagationLimit));
   this->Run(10s);
   BOOST_TEST(this->CountReading() == 1U);
 }
@@ -69,7 +69,7 @@
 // The reader paused for 0.8 s after a burst and then watched for 0.9 s: 294
 // followers had no sign of life for too long and looked for another daemon
 // (cflc-quotes-large trouble-3, four times).
-BOOST_AUTO_TEST_CASE(the_end_of_a_burst_costs_no_follower_its_upstream)
+BOOST_AUTO_TEST_CASE(followers_keep_their_upstream_after_a_burst)
 {
   this->Run(10s);
   for (std::uint8_t id = 2; id < 12; ++id) {
@@ -89,42 +89,42 @@
 }
 
 // The store may serve the operator and most daemons and say nothing to some.
-BOOST_AUTO_TEST_CASE(a_reader_that_the_store_ignores_is_replaced)
+BOOST_AUTO_TEST_CASE(reader_with_an_unresponsive_store_is_replaced)
 {
   this->Run(5s);
   Node* reader = this->Readers()[0];
-  reader->StoreSilent = true;
+  reader->StoreUnresponsive = true;
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(9) < kPropagationLimit));
   this->Run(5s);
   BOOST_TEST(reader->Routes.version() == 9U);
   BOOST_TEST(reader->Reader.isCurrent(reader->Clock(this->Now)));
 }
 
-BOOST_AUTO_TEST_CASE(a_daemon_cut_from_its_peers_reads_the_store)
+BOOST_AUTO_TEST_CASE(partitioned_daemon_reads_the_store)
 {
   this->Run(5s);
-  this->At(8).PeersCut = true;
+  this->At(8).IsPartitioned = true;
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < kInForceWithin));
-  this->At(8).PeersCut = false;
+  BOOST_TEST((this->TimeUntilApplied(9) < kPropagationLimit));
+  this->At(8).IsPartitioned = false;
   this->Run(5s);
   BOOST_TEST(!this->At(8).Relay.IsReading());
 }
 
 // What waited in a frozen daemon's socket looks new and is old.
-BOOST_AUTO_TEST_CASE(updates_that_waited_do_not_make_a_view_fresh)
+BOOST_AUTO_TEST_CASE(delayed_updates_do_not_refresh_a_view)
 {
   this->Run(5s);
   Node& frozen = this->At(8);
   frozen.Alive = false;
   this->Run(3s);
   frozen.Alive = true;
-  frozen.PeersCut = true;
+  frozen.IsPartitioned = true;
   this->Now += 5s;
   const core::Time clock = frozen.Clock(this->Now);
-  BOOST_REQUIRE(!this->Waiting.empty());
-  for (const Message& message : this->Waiting) {
+  BOOST_REQUIRE(!this->QueuedMessages.empty());
+  for (const Message& message : this->QueuedMessages) {
     if (const auto* update = std::get_if<core::ViewUpdate>(&message.Content)) {
       frozen.Relay.OnUpdate(*update, clock);
     }
@@ -134,7 +134,7 @@
   BOOST_TEST(frozen.Reader.isActive());
 }
 
-BOOST_AUTO_TEST_CASE(a_resumed_daemon_reads_at_once)
+BOOST_AUTO_TEST_CASE(resumed_daemon_reads_immediately)
 {
   this->Run(5s);
   this->At(8).Relay.OnResume();
@@ -143,7 +143,7 @@
   BOOST_TEST(!this->At(8).Reader.isActive());
 }
 
-BOOST_AUTO_TEST_CASE(followers_leave_a_daemon_that_stops)
+BOOST_AUTO_TEST_CASE(followers_leave_a_stopping_daemon)
 {
   this->Run(5s);
   Node* reader = this->Readers()[0];
@@ -155,12 +155,12 @@
     BOOST_TEST((node->Relay.GetUpstream() != reader->Address));
   }
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(9) < kPropagationLimit));
 }
 
-BOOST_AUTO_TEST_CASE(a_full_daemon_refers_to_its_followers)
+BOOST_AUTO_TEST_CASE(full_daemon_refers_to_its_followers)
 {
-  this->Grow(4 * core::kMostFollowers);
+  this->GrowTo(4 * core::kMostFollowers);
   this->Run(10s);
   for (auto& node : this->Nodes) {
     BOOST_TEST(node->Relay.CountFollowers() <= core::kMostFollowers);
@@ -168,12 +168,12 @@
   }
   BOOST_TEST(this->CountReading() <= 2U);
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < kInForceWithin));
+  BOOST_TEST((this->TimeUntilApplied(9) < kPropagationLimit));
 }
 
-BOOST_AUTO_TEST_CASE(what_two_daemons_saw_of_a_back_end_is_known_to_all)
+BOOST_AUTO_TEST_CASE(outlier_observed_by_two_daemons_reaches_all)
 {
-  this->Grow(4 * core::kMostFollowers);
+  this->GrowTo(4 * core::kMostFollowers);
   this->Run(10s);
   for (const std::size_t observer : { 40U, 90U }) {
     for (int i = 0; i < 10; ++i) {
@@ -192,10 +192,10 @@
 }
 
 // Other deployments may want changes in force sooner.
-BOOST_AUTO_TEST_CASE(a_shorter_bound_shortens_all_limits)
+BOOST_AUTO_TEST_CASE(shorter_bound_shortens_all_limits)
 {
   for (auto& node : this->Nodes) {
-    node->Relay.SetTiming(core::RelayTiming::Within(1500ms));
+    node->Relay.SetTiming(core::RelayTiming::ForBound(1500ms));
   }
   this->Run(5s);
   BOOST_TEST(this->CountReading() == 1U);
@@ -203,25 +203,25 @@
     this->At(i).Alive = false;
   }
   this->ChangeRoutes(9);
-  BOOST_TEST((this->TimeUntilInForce(9) < 1500ms));
+  BOOST_TEST((this->TimeUntilApplied(9) < 1500ms));
 }
 
-BOOST_AUTO_TEST_CASE(a_longer_bound_changes_nothing)
+BOOST_AUTO_TEST_CASE(longer_bound_keeps_default_limits)
 {
-  const core::RelayTiming timing = core::RelayTiming::Within(30s);
+  const core::RelayTiming timing = core::RelayTiming::ForBound(30s);
   BOOST_TEST((timing.WatchWait == core::kWatchWait));
   BOOST_TEST((timing.FollowerReadsAfter == core::kFollowerReadsAfter));
-  BOOST_TEST((timing.RareTryAfter == core::kReadBackOffCovered));
+  BOOST_TEST((timing.CoveredRetryInterval == core::kReadBackOffCovered));
 }
 
-BOOST_AUTO_TEST_CASE(rare_tries_follow_a_shorter_bound)
+BOOST_AUTO_TEST_CASE(covered_retry_interval_scales_with_the_bound)
 {
   const core::RelayTiming timing =
-    core::RelayTiming::Within(core::kChangesInForce / 2);
-  BOOST_TEST((timing.RareTryAfter == core::kReadBackOffCovered / 2));
+    core::RelayTiming::ForBound(core::kChangesInForce / 2);
+  BOOST_TEST((timing.CoveredRetryInterval == core::kReadBackOffCovered / 2));
 }
 
-BOOST_AUTO_TEST_CASE(an_update_of_unknown_age_says_nothing)
+BOOST_AUTO_TEST_CASE(update_of_unknown_age_is_ignored)
 {
   this->Run(5s);
   core::ViewUpdate update;
@@ -234,7 +234,7 @@
   BOOST_TEST(this->At(8).Reader.revision() == this->Store.revision());
 }
 
-BOOST_AUTO_TEST_CASE(routes_that_build_on_another_version_are_a_gap)
+BOOST_AUTO_TEST_CASE(routes_based_on_another_version_are_a_gap)
 {
   this->Run(5s);
   Node& node = this->At(8);
--- a/tests/fuzz/fuzz_peer.cc
+++ b/tests/fuzz/fuzz_peer.cc
@@ -3,7 +3,7 @@
 #include "core/balancer.h"
 #include "core/constants.h"
 #include "core/load/fleet_load.h"
-#include "core/relay/view_fill.h"
+#include "core/relay/view_backfill.h"
 #include "core/relay/view_relay.h"
 #include "core/view_exchange.h"
 #include "core/view_updater.h"
@@ -28,7 +28,7 @@
   core::OutlierDetector outliers{1};
   core::ViewRelay relay{self, reader, updater, log, outliers, random};
   core::ViewDifference difference{steering.backends(), steering.routes()};
-  core::ViewFill fill{self, reader, updater, steering.backends(), random};
+  core::ViewBackfill fill{self, reader, updater, steering.backends(), random};
   core::LoadMeter meter;
   core::FleetLoad load{self, meter,
                        [this](core::Time now) { return steering.backends().countSlots(now); }};
@@ -43,13 +43,13 @@
     listing.at = 5;
     reader.onReply(listing, now);
     reader.confirm(now);
-    relay.OnStoreAnswer(now);
+    relay.OnStoreReply(now);
   }
 
   void take(const core::ViewRequest& message, core::Time now) { exchange.onRequest(message, now); }
   void take(const core::ViewTransfer& message, core::Time now) {
     exchange.onTransfer(message, now);
-    relay.OnStoreAnswer(now);
+    relay.OnStoreReply(now);
   }
   void take(const core::ViewSubscription& message, core::Time now) {
     relay.OnSubscription(message, now);
@@ -59,7 +59,9 @@
     steering.onGroupNotice(message, now);
     steering.takeGroupProbes(now);
   }
-  void take(const core::OutlierReport& message, core::Time now) { relay.OnReport(message, now); }
+  void take(const core::OutlierReport& message, core::Time now) {
+    relay.OnOutlierReport(message, now);
+  }
   void take(const core::LoadReport& message, core::Time now) {
     core::ViewSubscription subscription;
     subscription.replyTo = message.replyTo;
@@ -72,7 +74,7 @@
     fill.TakeMessages();
   }
   void take(const core::ViewPage& message, core::Time now) {
-    core::FillPeers peers;
+    core::BackfillPeers peers;
     peers.Known = {message.sender};
     fill.OnTick(peers, now);
     fill.OnPage(message, now);
