--- a/tests/core/relay/follower_leases_test.cc
+++ b/tests/core/relay/follower_leases_test.cc
@@ -45,11 +45,11 @@
   for (std::size_t i = 1; i <= 2 * core::kPeersNamed; ++i) {
     leases.Grant(Follower(i), 1, 100s);
   }
-  const std::vector<core::Endpoint> named =
+  const std::vector<core::Endpoint> referrals =
     leases.SelectReferrals(Follower(1));
-  BOOST_TEST(named.size() == core::kPeersNamed);
-  BOOST_TEST(
-    (std::find(named.begin(), named.end(), Follower(1)) == named.end()));
+  BOOST_TEST(referrals.size() == core::kPeersNamed);
+  BOOST_TEST((std::find(referrals.begin(), referrals.end(), Follower(1)) ==
+              referrals.end()));
 }
 
 // 295 daemons in five zones followed three seeds and each other at random:
@@ -68,11 +68,11 @@
   BOOST_TEST(leases.Grant(remote(1), 1, 100s));
   BOOST_TEST(leases.Grant(Follower(1), 1, 100s));
   BOOST_TEST(leases.Grant(endpoint(5, 1, 7720), 1, 100s));
-  const std::vector<core::Endpoint> named =
+  const std::vector<core::Endpoint> referrals =
     leases.SelectReferrals(remote(100));
-  BOOST_REQUIRE(named.size() >= core::kFollowersFromAfar);
+  BOOST_REQUIRE(referrals.size() >= core::kFollowersFromAfar);
   for (std::size_t i = 0; i < core::kFollowersFromAfar; ++i) {
-    BOOST_TEST((named[i] == remote(i + 1)));
+    BOOST_TEST((referrals[i] == remote(i + 1)));
   }
   leases.Expire(100s + core::kSubscriptionLease);
   BOOST_TEST(leases.Grant(remote(100), 1, 105s));
--- a/tests/core/relay/relay_changes_test.cc
+++ b/tests/core/relay/relay_changes_test.cc
@@ -70,8 +70,8 @@
   update.from = reader.Reader.revision();
   update.clockUs = update.confirmedUs = 1;
   std::size_t requests = 0;
-  for (std::uint64_t news = 1; news <= 5; ++news) {
-    update.revision = update.from + news;
+  for (std::uint64_t step = 1; step <= 5; ++step) {
+    update.revision = update.from + step;
     const auto outcome = follower.Relay.OnUpdate(update, clock);
     BOOST_TEST((outcome == UpdateOutcome::kGap));
     requests += follower.Relay.TakeMessages().size();
@@ -122,33 +122,34 @@
 BOOST_AUTO_TEST_CASE(answer_without_changes_does_not_advance_the_view)
 {
   this->Run(5s);
-  Node& asked = *this->Readers()[0];
-  Node& asking = this->At(8);
-  const core::Revision before = asking.Reader.revision();
-  asking.IsPartitioned = true;
-  asking.StoreRefuses = true;
+  Node& peer = *this->Readers()[0];
+  Node& requester = this->At(8);
+  const core::Revision before = requester.Reader.revision();
+  requester.IsPartitioned = true;
+  requester.StoreRefuses = true;
   this->AddManyRoutes(8);
   this->Run(1s);
   // By another way it has come to where the changes that are kept begin.
-  const core::Revision base = asked.Log.GetBase();
+  const core::Revision base = peer.Log.GetBase();
   BOOST_REQUIRE(base > before);
-  asking.Reader.adopt(base);
+  requester.Reader.adopt(base);
   this->ChangeRoutes(9);
   this->Run(200ms);
-  BOOST_REQUIRE(asked.Routes.version() == 9U);
-  const core::Time clock = asked.Clock(this->Now);
-  const auto sentAt = asking.Clock(this->Now).count();
-  asked.Relay.SetDifference(nullptr); // As where departures were forgotten.
-  asked.Relay.TakeMessages();
-  asked.Relay.OnSubscription(
-    { asking.Address, before, static_cast<std::uint64_t>(sentAt) }, clock);
+  BOOST_REQUIRE(peer.Routes.version() == 9U);
+  const core::Time clock = peer.Clock(this->Now);
+  const auto sentAt = requester.Clock(this->Now).count();
+  peer.Relay.SetDifference(nullptr); // As where departures were forgotten.
+  peer.Relay.TakeMessages();
+  peer.Relay.OnSubscription(
+    { requester.Address, before, static_cast<std::uint64_t>(sentAt) }, clock);
   const std::vector<core::OutgoingRelayMessage> answers =
-    asked.Relay.TakeMessages();
+    peer.Relay.TakeMessages();
   BOOST_REQUIRE(answers.size() == 1U);
-  const auto outcome = asking.Relay.OnUpdate(
-    std::get<core::ViewUpdate>(answers[0].Message), asking.Clock(this->Now));
+  const auto outcome =
+    requester.Relay.OnUpdate(std::get<core::ViewUpdate>(answers[0].Message),
+                             requester.Clock(this->Now));
   BOOST_TEST((outcome == core::UpdateOutcome::kGap));
-  BOOST_TEST(asking.Reader.revision() == base);
+  BOOST_TEST(requester.Reader.revision() == base);
 }
 
 // A stale listing and some of what changed since may be seconds old: nothing
@@ -169,7 +170,7 @@
   starting.Relay.OnStoreReply(clock);
   BOOST_REQUIRE(starting.Reader.isCatchingUp());
   Node& seed = *this->Readers()[0];
-  const auto ask = [&] {
+  const auto requestUpdate = [&] {
     seed.Relay.OnSubscription({ starting.Address,
                                 starting.Reader.revision(),
                                 static_cast<std::uint64_t>(clock.count()) },
@@ -181,7 +182,7 @@
     }
   };
   starting.Relay.TakeMessages();
-  ask();
+  requestUpdate();
   BOOST_TEST(starting.Reader.revision() > listed);
   BOOST_TEST(!starting.Reader.isComplete());
   // Three seeds would have to send a starting fleet most of the store.
--- a/tests/core/relay/relay_fixture.h
+++ b/tests/core/relay/relay_fixture.h
@@ -173,9 +173,9 @@
   {
     for (core::OutgoingRelayMessage& outgoing : node.Relay.TakeMessages()) {
       for (const core::Endpoint& destination : outgoing.Destinations) {
-        const bool lost =
+        const bool isDropped =
           this->DropInterval != 0 && ++this->Sent % this->DropInterval == 0;
-        if (!node.IsPartitioned && !lost) {
+        if (!node.IsPartitioned && !isDropped) {
           std::visit(
             [&messages, &destination](const auto& content) {
               messages.push_back({ destination, content });
@@ -215,12 +215,12 @@
       } else if (const auto* load =
                    std::get_if<core::LoadReport>(&message.Content)) {
         node->Relay.OnLoadReport(*load, clock);
-      } else if (const auto* sum =
+      } else if (const auto* summary =
                    std::get_if<core::LoadSummary>(&message.Content)) {
-        node->Relay.OnLoadSummary(*sum, clock);
-      } else if (const auto* asked =
+        node->Relay.OnLoadSummary(*summary, clock);
+      } else if (const auto* request =
                    std::get_if<core::ViewPageRequest>(&message.Content)) {
-        node->Fill.OnRequest(*asked, clock);
+        node->Fill.OnRequest(*request, clock);
       } else if (const auto* page =
                    std::get_if<core::ViewPage>(&message.Content)) {
         node->Fill.OnPage(*page, clock);
--- a/tests/core/relay/seed_group_test.cc
+++ b/tests/core/relay/seed_group_test.cc
@@ -49,13 +49,13 @@
 
 BOOST_AUTO_TEST_CASE(seed_excludes_itself)
 {
-  core::SeedGroup own(this->First);
-  own.SetSeeds({ this->First, this->Second });
-  own.OnTick(this->Now);
-  BOOST_TEST(own.IsSelfSeed());
-  BOOST_TEST((own.GetNext() == this->Second));
-  BOOST_TEST(!own.Contains(this->First));
-  BOOST_TEST(!own.HasReachableSeed(this->Now));
+  core::SeedGroup seedItself(this->First);
+  seedItself.SetSeeds({ this->First, this->Second });
+  seedItself.OnTick(this->Now);
+  BOOST_TEST(seedItself.IsSelfSeed());
+  BOOST_TEST((seedItself.GetNext() == this->Second));
+  BOOST_TEST(!seedItself.Contains(this->First));
+  BOOST_TEST(!seedItself.HasReachableSeed(this->Now));
 }
 
 BOOST_AUTO_TEST_CASE(seeds_are_reachable_until_the_timeout)
@@ -90,9 +90,9 @@
   pushed.echoUs = 0;
   core::ViewUpdate part = this->AnswerWithViewAge(10s);
   part.confirmedUs = 0;
-  core::ViewUpdate stranger = this->AnswerWithViewAge(10s);
-  stranger.sender = endpoint(9, 30, 7720);
-  for (const core::ViewUpdate& update : { pushed, part, stranger }) {
+  core::ViewUpdate fromNonSeed = this->AnswerWithViewAge(10s);
+  fromNonSeed.sender = endpoint(9, 30, 7720);
+  for (const core::ViewUpdate& update : { pushed, part, fromNonSeed }) {
     this->Seeds.OnUpdate(update, this->Timing, this->Now);
     BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now));
   }
--- a/tests/core/relay/view_backfill_test.cc
+++ b/tests/core/relay/view_backfill_test.cc
@@ -178,9 +178,9 @@
   this->Start(kManyBackends);
   this->TimeUntilFullViews();
   this->Run(3s);
-  Node& late = this->At(20);
+  Node& replaced = this->At(20);
   const std::uint64_t before = this->CountItemsRead();
-  late.ItemsRead = 0;
+  replaced.ItemsRead = 0;
   this->Nodes[20] = std::make_unique<Node>(21, 500s);
   this->GrowTo(kDaemons);
   this->At(20).Reader.setSampled(77);
@@ -201,8 +201,8 @@
   this->Now += 5s;
   const core::Time clock = sender.Clock(this->Now);
   std::size_t sent = 0;
-  for (std::size_t asking = 10; asking < 30; ++asking) {
-    sender.Fill.OnRequest({ this->At(asking).Address, "", 0 }, clock);
+  for (std::size_t requester = 10; requester < 30; ++requester) {
+    sender.Fill.OnRequest({ this->At(requester).Address, "", 0 }, clock);
     const auto messages = sender.Fill.TakeMessages();
     const auto& page = std::get<core::ViewPage>(messages.at(0).Message);
     sent += page.revision != 0 ? 1 : 0;
@@ -229,15 +229,15 @@
   this->TimeUntilFullViews();
   Node& sender = this->At(5);
   const core::Endpoint near = endpoint(8, 1, 7720);
-  const core::Endpoint asking = endpoint(8, 2, 7720);
+  const core::Endpoint requester = endpoint(8, 2, 7720);
   std::size_t sent = 0;
-  for (int asked = 0; asked < 100; ++asked) {
+  for (int attempt = 0; attempt < 100; ++attempt) {
     this->Now += 1s;
     // A page for the near one, which is then known to be whole.
     sender.Fill.OnRequest({ near, "servers/9999", 0 },
                           sender.Clock(this->Now));
     sender.Fill.TakeMessages();
-    sender.Fill.OnRequest({ asking, "", 0 }, sender.Clock(this->Now));
+    sender.Fill.OnRequest({ requester, "", 0 }, sender.Clock(this->Now));
     const auto messages = sender.Fill.TakeMessages();
     const auto& page = std::get<core::ViewPage>(messages.at(0).Message);
     sent += page.revision != 0 ? 1 : 0;
