--- a/src/core/relay/address_proximity.h
+++ b/src/core/relay/address_proximity.h
@@ -1,6 +1,6 @@
 /// @file
-/// How near two daemons are, as far as their addresses tell.  Zones have
-/// networks of their own; where they do not, every choice is as good.
+/// Estimates network proximity from address prefixes.  Each zone is expected
+/// to have its own network; otherwise all peers rank equally.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace cobaltgauge::core {
 
-/// Count the leading bytes that two addresses share; more means nearer.
+/// Count the leading bytes that two addresses share; more means closer.
 inline std::size_t CountCommonPrefixBytes(const Endpoint& left,
                                           const Endpoint& right)
 {
--- a/src/core/relay/change_log.cc
+++ b/src/core/relay/change_log.cc
@@ -9,7 +9,6 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Count the items that a change carries.
 std::size_t CountItems(const StoreChange& change)
 {
   if (const auto* delta = std::get_if<RouteDelta>(&change.item)) {
@@ -35,7 +34,7 @@
   this->LargestPendingChange = std::max(this->LargestPendingChange, itemCount);
   this->NewestPendingRevision =
     std::max(this->NewestPendingRevision, change.revision);
-  // Nothing is kept of a batch that will be left out anyway.
+  // An oversized batch is not stored, as Close() would discard it.
   if (this->PendingItemCount <= kHeaviestLog) {
     this->Pending.push_back(std::move(change));
   }
@@ -78,8 +77,8 @@
 
 void ChangeLog::AddSplit(std::vector<StoreChange> changes, Revision complete)
 {
-  // The changes of one revision are never divided, and those that are newer
-  // than `complete` come with the last part.
+  // Changes of one revision stay in one batch.  Changes newer than `complete`
+  // go into the last batch.
   const auto end = [complete](const StoreChange& change) {
     return std::min(change.revision, complete);
   };
--- a/src/core/relay/change_log.h
+++ b/src/core/relay/change_log.h
@@ -1,6 +1,6 @@
 /// @file
-/// The latest changes of a view, in batches, so that a peer whose view is a
-/// little older can be brought up to date without a whole view.
+/// Bounded log of recent view changes, used to update peers whose view is
+/// slightly older without sending the full view.
 #pragma once
 
 #include <cstddef>
@@ -12,44 +12,45 @@
 
 namespace cobaltgauge::core {
 
-/// Some of what a view lacks.
+/// Changes that bring a view up to a later revision.
 struct ChangeRange
 {
   std::vector<StoreChange> Changes;
-  Revision EndRevision = 0; ///< A view that takes them is complete up to here.
+  Revision EndRevision = 0; ///< The view is complete up to here once applied.
 };
 
 /** \class ChangeLog
- * \brief What changed from one revision to the next.
+ * \brief Log the changes between revisions.
  *
- * Changes are appended as they are taken and closed by the revision up to
- * which the view is then complete.  The pages of a listing may show changes
- * that are newer than its place; a watch from there shows them again, as
- * nothing new.  They belong to the next batch as well, or the log begins after
- * them.  The log is bounded.  A heavy batch is
- * divided by revision, so that it is passed on in parts; what cannot be
- * divided is left out, and peers that lack it read the store.
+ * Changes are appended as they are applied, and Close() ends a batch at the
+ * revision up to which the view is then complete.  Pages of a listing may show
+ * changes newer than the revision of the listing.  A watch from there delivers
+ * them again without any effect, so they are also added to the next batch, or
+ * the log begins after them.  Large batches are split by revision.  A batch
+ * that cannot be split and exceeds the limit is omitted, and peers that lack
+ * it read the store.
  */
 class ChangeLog
 {
 public:
   /// Start from a listing that is complete up to `listed` once a watch from
-  /// there is taken.  Has no effect on a log that has begun.
+  /// there succeeds.  Has no effect on a log that has begun.
   void Begin(Revision listed);
 
-  /// Add a change to the batch that is being collected.
+  /// Add a change to the open batch.
   void Append(StoreChange change);
 
-  /// Keep the batch that is being collected whole: it came from a listing,
-  /// which does not tell at which revision an item vanished.
+  /// Do not split the open batch.  It came from a listing, which does not give
+  /// the revisions of removals.
   void MarkIndivisible() { this->Indivisible = true; }
 
-  /// The view is complete up to this revision; ends the batch.  Has no effect
-  /// where it was complete up to there before.
+  /// End the open batch; the view is now complete up to this revision.  Has no
+  /// effect unless the revision is newer than the previous one.
   void Close(Revision complete);
 
-  /// Get what a view complete up to `have` lacks, up to kHeaviestBatch items.
-  /// \return nothing where the log does not reach back that far.
+  /// Get the changes that a view complete up to `have` lacks, up to
+  /// kHeaviestBatch items.
+  /// \return nothing if the log does not reach back to `have`.
   std::optional<ChangeRange> Since(Revision have) const;
 
   /// Tell whether Since() can start from `have`.
@@ -61,7 +62,8 @@
   /// Get the oldest revision that Since() can start from.
   Revision GetBase() const { return this->Base; }
 
-  /// Get the revision up to which the view is complete; zero for no view.
+  /// Get the revision up to which the view is complete; zero if there is no
+  /// view.
   Revision GetCompleteRevision() const { return this->CompleteRevision; }
 
 private:
@@ -72,10 +74,10 @@
     std::size_t ItemCount = 0;
   };
 
-  /// Forget everything.  \param newestListed the newest change that was
-  /// appended.
+  /// Discard all batches.
+  /// \param newestListed revision of the newest appended change.
   void Clear(const Revision& newestListed);
-  /// Add what was collected as batches that are light enough.
+  /// Split changes by revision into batches of at most kHeaviestBatch items.
   void AddSplit(std::vector<StoreChange> changes, Revision complete);
   void AddBatch(Batch batch);
   void DropOldest();
@@ -83,7 +85,7 @@
   std::deque<Batch> Batches;
   std::vector<StoreChange> Pending;
   Revision NewestPendingRevision = 0;
-  std::size_t LargestPendingChange = 0; ///< ItemCount of a single change.
+  std::size_t LargestPendingChange = 0; ///< Items of the largest change.
   std::size_t PendingItemCount = 0;
   bool Indivisible = false;
   std::size_t ItemCount = 0;
--- a/src/core/relay/fleet_size_estimator.h
+++ b/src/core/relay/fleet_size_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many daemons there are, as far as this one has heard.
+/// Estimates the number of daemons in the fleet.
 #pragma once
 
 #include <algorithm>
@@ -11,15 +11,14 @@
 namespace cobaltgauge::core {
 
 /** \class FleetSizeEstimator
- * \brief Remember the highest count that was heard lately.
+ * \brief Track the maximum of recently reported daemon counts.
  *
- * Counts are summed upwards along the tree of followers to a seed that reads
- * the store, and told downwards with each update.  A tree that has just lost a
- * branch, or is one of two halves, counts too few; so the highest one of the
- * last periods holds.  A tree that is still growing does as well; so counts
- * are believed once they have been heard for kFleetCountSettles, and until
- * then kLargestFleet holds.  Good for dividing a bound that may be divided too
- * finely; nothing may rely on there being that many.
+ * Counts are summed up the relay tree to a seed that reads the store, and
+ * reported down the tree with each update.  A tree that lost a branch or is
+ * partitioned counts too few, so the maximum of the last two periods is used.
+ * Counts of a growing tree are too low as well, so kLargestFleet is assumed
+ * until counts have been received for kFleetCountSettles.  The estimate may be
+ * too high; use it only to divide a limit among daemons.
  */
 class FleetSizeEstimator
 {
@@ -33,10 +32,10 @@
     this->PeriodMax = std::max(this->PeriodMax, daemons);
   }
 
-  /// GetEstimate the count heard last; zero for none.
+  /// Get the latest count; zero if there is none.
   std::uint32_t GetLatestCount() const { return this->LatestCount; }
 
-  /// GetEstimate a count that errs high.
+  /// Get the estimated number of daemons; may be too high.
   std::uint32_t GetEstimate(Time now) const
   {
     const bool isSettled = this->FirstReceivedAt != Time{} &&
@@ -48,14 +47,13 @@
   }
 
 private:
-  /// Begin a new period, where one has ended.
   void StartPeriodIfDue(Time now)
   {
     if (now < this->PeriodEndsAt) {
       return;
     }
     if (now >= this->PeriodEndsAt + kFleetCountMemory) {
-      // Nothing was heard for a whole period: as at a start.
+      // No count was received for a whole period: start over.
       this->FirstReceivedAt = now;
       this->PeriodMax = 0;
     }
--- a/src/core/relay/follower_leases.h
+++ b/src/core/relay/follower_leases.h
@@ -1,5 +1,5 @@
 /// @file
-/// The daemons that follow this one, each for the time of a lease.
+/// Leases of the daemons that follow this one.
 #pragma once
 
 #include <map>
@@ -10,11 +10,10 @@
 namespace cobaltgauge::core {
 
 /** \class FollowerLeases
- * \brief Keep a bounded number of followers until their leases end.
+ * \brief Keep a bounded number of followers until their leases expire.
  *
- * Of a network that is not this daemon's own it takes few: the others there
- * follow those, so that a change crosses between zones a few times and not
- * once for each daemon.
+ * Only a few followers from a remote network are accepted; other daemons of
+ * that network follow those, which limits traffic between zones.
  */
 class FollowerLeases
 {
@@ -25,12 +24,13 @@
   }
 
   /// Begin or renew a lease.
-  /// \param daemons the follower and all that follow it; zero: it only asks.
-  /// \return false where there is no room, or where enough followers are
-  /// nearer to the asking one.
+  /// \param daemons size of the subtree including the follower; zero if it
+  /// only requests an update.
+  /// \return false if the limit is reached, or if enough followers are closer
+  /// to the requester than this daemon.
   bool Grant(const Endpoint& follower, std::uint32_t daemons, Time now);
 
-  /// End the leases that were not renewed.
+  /// Remove expired leases.
   void Expire(Time now);
   void Clear() { this->Leases.clear(); }
 
@@ -39,12 +39,11 @@
     return this->Leases.count(daemon) != 0;
   }
   std::size_t Count() const { return this->Leases.size(); }
-  /// Count this daemon and all that follow it, directly or not.
+  /// Count this daemon and all its direct and indirect followers.
   std::uint32_t CountSubtree() const;
   std::vector<Endpoint> List() const;
 
-  /// Get some followers whom a daemon may ask instead of this one, those near
-  /// it first.
+  /// Get followers that the requester may ask instead, closest first.
   std::vector<Endpoint> SelectReferrals(const Endpoint& requester) const;
 
 private:
--- a/src/core/relay/observed_history.h
+++ b/src/core/relay/observed_history.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which part of the store's history a view has followed.
+/// Tracks which part of the store's history a view has observed.
 #pragma once
 
 #include <algorithm>
@@ -8,12 +8,12 @@
 
 namespace cobaltgauge::core {
 
-/// A listing that was compared with a view, as after a lost history: what lies
-/// between the two is not known.
+/// Unobserved part of the history between a view and the listing that it was
+/// compared with, for example after the store discarded its history.
 struct HistoryGap
 {
   Revision From = 0; ///< The view was complete up to here.
-  Revision To = 0;   ///< The listing was; zero: there is no gap.
+  Revision To = 0;   ///< The listing was complete up to here; zero: no gap.
 
   bool Contains(const Revision& position) const
   {
@@ -22,19 +22,19 @@
 };
 
 /** \class ObservedHistory
- * \brief From where on every change was taken, but for the latest gap.
+ * \brief Revision from which on every change was applied, except for the
+ * latest gap.
  *
- * Of two gaps the earlier one is not remembered: the history begins behind it
- * then.
+ * Only one gap is stored.  With a second gap, the history begins after the
+ * first one.
  */
 class ObservedHistory
 {
 public:
-  /// A listing began the view.
+  /// Start from a listing.
   void Begin(const Revision& listed) { this->From = listed; }
 
-  /// Something complete up to `position` was taken into a view that may be
-  /// empty.
+  /// Start from `position` if the view was empty.
   void BeginIfUnset(const Revision& position)
   {
     if (this->From == 0) {
@@ -42,7 +42,7 @@
     }
   }
 
-  /// The view went on with a listing, its own or a peer's.
+  /// Record that the view continued from a listing, its own or that of a peer.
   void AddGap(const HistoryGap& gap)
   {
     if (gap.To > this->Gap.To) {
@@ -51,15 +51,15 @@
     }
   }
 
-  /// Tell whether all that a view complete up to `have` lacks was taken here.
-  /// One that is complete up to a position in the gap may hold what nobody
-  /// here has seen, so nothing that it lacks can be told.
+  /// Tell whether all changes that a view complete up to `have` lacks were
+  /// applied here.  A view that ends inside the gap may hold changes that were
+  /// not observed here, so its missing changes are unknown.
   bool Covers(const Revision& have) const
   {
     return have >= this->From && !this->Gap.Contains(have);
   }
 
-  /// Get the position from which on every change was taken.
+  /// Get the revision from which on every change was applied.
   const Revision& GetBase() const
   {
     return this->Gap.To != 0 ? this->Gap.To : this->From;
--- a/src/core/relay/peer_clocks.h
+++ b/src/core/relay/peer_clocks.h
@@ -1,6 +1,6 @@
 /// @file
-/// How the clocks of peers relate to this daemon's, so that the age of what
-/// they tell is bounded whatever was delayed.
+/// Converts timestamps of peers to the local clock, with an upper bound on the
+/// age of received data regardless of network delay.
 #pragma once
 
 #include <cstdint>
@@ -13,37 +13,39 @@
 namespace cobaltgauge::core {
 
 /** \class PeerClocks
- * \brief Turn times of a peer's clock into times of this daemon's.
+ * \brief Track the clock offsets of peers.
  *
- * An answer carries the time of the question on this daemon's clock, and its
- * own on the peer's.  What the peer did at its time s happened here at or
- * after echo + (s - clock): a delay makes it look older, never younger.
+ * A response carries the time of the request on the local clock (echo) and the
+ * time of the response on the peer's clock.  An event at time s on the peer's
+ * clock happened at or after echo + (s - clock) on the local clock.  Delays
+ * make it look older, never newer.
  */
 class PeerClocks
 {
 public:
-  /// Learn from an answer; other updates and late answers tell nothing.
+  /// Update the offset from a response.  Unsolicited updates and late
+  /// responses are ignored.
   void RecordOffset(const ViewUpdate& update, Time now);
 
-  /// Get when the view of an update was confirmed, on this daemon's clock.
-  /// \return nothing where the sender's clock is unknown.
+  /// Get the local time at which the view of an update was confirmed.
+  /// \return nothing if the sender's clock offset is unknown.
   std::optional<Time> GetConfirmedAt(const ViewUpdate& update, Time now) const;
 
-  /// Turn a time of a peer's clock into this daemon's; errs early.
-  /// \return nothing where the peer's clock is unknown.
+  /// Convert a peer's timestamp to local time; the result may be too early.
+  /// \return nothing if the peer's clock offset is unknown.
   std::optional<Time> ToLocalTime(const Endpoint& peer,
                                   std::uint64_t timeUs,
                                   Time now) const;
 
   void Forget(const Endpoint& peer) { this->Offsets.erase(peer); }
 
-  /// Forget clocks that were not heard for kClockMemory.
+  /// Remove offsets that were not updated for kClockMemory.
   void Expire(Time now);
 
 private:
   struct ClockOffset
   {
-    std::int64_t OffsetUs = 0; ///< Added to the peer's time: not later here.
+    std::int64_t OffsetUs = 0; ///< Added to the peer's time; a lower bound.
     Time UpdatedAt{};
   };
 
--- a/src/core/relay/relay_timing.h
+++ b/src/core/relay/relay_timing.h
@@ -1,6 +1,6 @@
 /// @file
-/// How long each step may take until a view that may be old is the store's
-/// again, for the time in which changes have to be in force.
+/// Time limits for detecting and refreshing a stale view, derived from the
+/// time within which changes have to be in effect.
 #pragma once
 
 #include <algorithm>
@@ -10,9 +10,9 @@
 
 namespace cobaltgauge::core {
 
-/// Time limits that follow from one bound.  The ratios are those of the
-/// constants, which fit a bound of kChangesInForce; a longer one does not
-/// stretch them, since a fresh view is better and costs little.
+/// Time limits derived from one bound.  The constants fit a bound of
+/// kChangesInForce.  A shorter bound scales them down; a longer bound does not
+/// extend them.
 struct RelayTiming
 {
   Duration WatchWait = kWatchWait;
@@ -21,11 +21,12 @@
   Duration SeedReadsAfter = kSeedReadsAfter;
   Duration FollowerReadsAfter = kFollowerReadsAfter;
   Duration CoveredRetryInterval = kReadBackOffCovered;
-  /// Of what a looser bound leaves, a half goes to waiting for a peer's
-  /// changes where the store's history is gone, before everyone lists it all.
+  /// How long a view waits for a peer's changes before listing again after the
+  /// store discarded its history.  Half of what the bound leaves beyond
+  /// kChangesInForce.
   Duration MaxRelistDelay{ 0 };
 
-  /// Get the limits for changes that have to be in force within `bound`.
+  /// Get the limits for changes that have to be in effect within `bound`.
   static RelayTiming ForBound(Duration bound)
   {
     const Duration shorter = std::min(bound, kChangesInForce);
--- a/src/core/relay/seed_group.cc
+++ b/src/core/relay/seed_group.cc
@@ -12,7 +12,7 @@
 {
   this->Others = seeds;
   this->SelfIsSeed = std::erase(this->Others, this->Self) != 0;
-  // Each daemon prefers seeds in an order of its own, which spreads followers.
+  // A different order for each daemon distributes followers among the seeds.
   const std::uint64_t own = EndpointHash{}(this->Self);
   std::sort(this->Others.begin(),
             this->Others.end(),
@@ -36,8 +36,8 @@
     return;
   }
   this->LastHeardAt = now;
-  // Parts and daemons without a view say nothing about the store, and what is
-  // no answer may have waited.
+  // Partial updates and daemons without a view do not reflect the state of the
+  // store.  An unsolicited update may have been delayed.
   if (update.echoUs == 0 || update.confirmedUs == 0) {
     return;
   }
--- a/src/core/relay/seed_group.h
+++ b/src/core/relay/seed_group.h
@@ -1,6 +1,6 @@
 /// @file
-/// The daemons that everyone is told of, and what their answers say of the
-/// store.
+/// The configured seed daemons, and the state of the store as their updates
+/// report it.
 #pragma once
 
 #include <cstddef>
@@ -13,11 +13,11 @@
 namespace cobaltgauge::core {
 
 /** \class SeedGroup
- * \brief Name the seed to ask next, and tell whether seeds try the store.
+ * \brief Select the next seed to query, and track whether seeds can read the
+ * store.
  *
- * A daemon that hears a seed is covered: seeds read the store and pass on what
- * they learn.  A seed that answers with a view older than its own limit has
- * read in vain.
+ * Seeds read the store and propagate its changes.  A seed that responds with a
+ * view older than its own limit has failed to read the store.
  */
 class SeedGroup
 {
@@ -29,14 +29,14 @@
 
   void SetSeeds(const std::vector<Endpoint>& seeds);
 
-  /// Note what a daemon answered; only seeds count.
+  /// Handle an update; ignored unless the sender is a seed.
   void OnUpdate(const ViewUpdate& update, const RelayTiming& timing, Time now);
 
-  /// Call at each tick: seeds are taken to be there at first, until they have
-  /// been silent for long enough.
+  /// Call at each tick.  Seeds count as reachable from the first tick until
+  /// they time out.
   void OnTick(Time now);
 
-  /// Get the seed to ask next, each in turn; only where there is one.
+  /// Get the next seed in round-robin order.  Requires HasOthers().
   const Endpoint& GetNext()
   {
     return this->Others[this->Next++ % this->Others.size()];
@@ -44,22 +44,23 @@
 
   bool IsSelfSeed() const { return this->SelfIsSeed; }
   bool HasOthers() const { return !this->Others.empty(); }
-  /// Tell whether this is a seed other than this daemon.
+  /// Tell whether `daemon` is a seed other than this one.
   bool Contains(const Endpoint& daemon) const;
   const std::vector<Endpoint>& GetOthers() const { return this->Others; }
 
-  /// Tell whether this daemon is none and hears one.
+  /// Tell whether this daemon is not a seed and has heard from one recently.
   bool HasReachableSeed(Time now) const;
-  /// Tell whether one answered just now that it reads in vain.
+  /// Tell whether a recent response of a seed showed that it fails to read the
+  /// store.
   bool IsStoreFailing(Time now) const;
 
 private:
   Endpoint Self;
-  std::vector<Endpoint> Others; ///< In the order in which they are asked.
+  std::vector<Endpoint> Others; ///< In query order.
   bool SelfIsSeed = false;
   std::size_t Next = 0;
   Time LastHeardAt{};
-  Time StoreFailureAt{}; ///< Zero: the last answer showed a fresh view.
+  Time StoreFailureAt{}; ///< Zero: the last response showed a fresh view.
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/view_backfill.cc
+++ b/src/core/relay/view_backfill.cc
@@ -11,31 +11,28 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Back ends of one page, about 20 KB.  Taking one keeps a small machine of
-/// 0.12 cores busy for some 10 ms, in which packets wait.
+/// About 20 KB.  Larger pages would block packet processing for too long on a
+/// small machine.
 constexpr std::size_t kBackendsPerPage = 500;
-/// Pages that a daemon gives in a second: 1 MB, as of other whole views.
+/// Rate limit for sent pages, about 1 MB/s.
 constexpr std::uint32_t kPagesPerSecond = 50;
-/// Daemons that are given pages at once.  Each gets its last page within two
-/// seconds then and goes on giving; 900 that were served in turn all waited
-/// for ten.
+/// Peers that are sent pages at the same time.  A low limit lets each of them
+/// finish early and serve others.
 constexpr std::size_t kMaxConcurrentRecipients = 4;
-/// Who has not asked for its next page for so long is not served any more.
+/// A recipient that sends no request for this long loses its slot.
 constexpr Duration kRecipientTimeout = 500ms;
-/// A page that has not come after this long is asked for elsewhere.
+/// A page that has not arrived after this long is requested from another peer.
 constexpr Duration kPageTimeout = 400ms;
-/// A seed without a page for so long reads the store, so that others need not.
+/// A seed that receives no page for this long reads the store, so that other
+/// daemons need not.
 constexpr Duration kSeedStoreDelay = 400ms;
-/// Everyone else does after this long, and a random time for each daemon that
-/// there is: ten listings begun a second, of 2 MB each where there are 10,000
-/// back ends, are a fifth of a link of 1,000 Mbit/s, and the first that is
-/// done gives pages to the others.
+/// Other daemons read the store after this delay plus a random delay that
+/// grows with the fleet, which spreads the load on the store.
 constexpr Duration kStoreDelay = 3s;
 constexpr Duration kStoreDelayPerDaemon = 100ms;
-/// One in so many times a daemon that is said to have a whole view is passed
-/// over: it may be gone.
+/// One in this many selections ignores the peers known to have full views,
+/// which may be gone.
 constexpr std::uint64_t kExplorationInterval = 4;
-/// Daemons with whole views that are remembered and named.
 constexpr std::size_t kMaxFullViewPeers = 8;
 
 } // namespace
@@ -88,7 +85,7 @@
 
 Endpoint ViewBackfill::SelectPeer(const BackfillPeers& peers)
 {
-  // Who is known to have a whole view may be gone, so others are asked too.
+  // Peers known to have full views may be gone, so others are queried too.
   if (!this->FullViewPeers.empty() &&
       this->RandomSource.below(kExplorationInterval) != 0) {
     return this->SelectFullViewPeer();
@@ -160,7 +157,8 @@
     return now - item.second >= kRecipientTimeout;
   });
   const bool isRecipient = this->Recipients.contains(peer);
-  // Bytes between zones cost; the nearer one may be gone, though.
+  // Avoids traffic between zones; occasionally serves anyway, as the closer
+  // peer may be gone.
   const bool isLeftToCloserPeer = !isRecipient &&
     this->KnowsCloserPeer(peer) &&
     this->RandomSource.below(kExplorationInterval) != 0;
@@ -240,7 +238,7 @@
     this->Reader.onFilled();
     return;
   }
-  // Peers do well: the store is left alone.
+  // Peers make progress, so the store read is postponed.
   this->StoreReadAt = std::max(this->StoreReadAt, now + kStoreDelay);
   this->SendRequest(page.sender, now);
 }
--- a/src/core/relay/view_backfill.h
+++ b/src/core/relay/view_backfill.h
@@ -1,13 +1,13 @@
 /// @file
-/// Fills a view that is in use with the back ends that it lacks.  See
+/// Backfills a sampled view with the missing backends.  See
 /// docs/design/012-whole-fleet.md.
 ///
-/// A daemon that starts in a large fleet knows a sample of the back ends and
-/// takes flows by it.  The rest comes in pages, from daemons whose views are
-/// whole.  A daemon that has got the last page gives pages itself, and those
-/// who have none to give name some who got theirs, so that whole views spread
-/// like a rumour: the time they take grows with the logarithm of the fleet,
-/// and the store is read by few.
+/// A daemon that starts in a large fleet begins with a sample of the backends
+/// and places flows by it.  The others arrive in pages from peers that have
+/// full views.  A daemon that received the last page serves pages itself, and
+/// peers that cannot serve name others that can, as in a gossip protocol: the
+/// time to fill all views grows with the logarithm of the fleet size, and few
+/// daemons read the store.
 #pragma once
 
 #include <cstddef>
@@ -26,7 +26,6 @@
 
 namespace cobaltgauge::core {
 
-/// One message on its way to a peer.
 struct OutgoingBackfillMessage
 {
   Endpoint Destination;
@@ -39,29 +38,29 @@
   std::uint64_t RequestsSent = 0;
   std::uint64_t PagesSent = 0;
   std::uint64_t PagesApplied = 0;
-  std::uint64_t RequestsRefused =
-    0; ///< Requests of others with nothing to give.
-  std::uint64_t StalePages =
-    0; ///< Pages older than what this view began with.
+  /// Requests of peers that were not served.
+  std::uint64_t RequestsRefused = 0;
+  std::uint64_t StalePages = 0; ///< Pages older than the base of this view.
 };
 
-/// What a ViewBackfill is told of other daemons.
+/// Peers that a ViewBackfill may query.
 struct BackfillPeers
 {
-  std::vector<Endpoint> Known; ///< Any that may exist.
-  std::vector<Endpoint> Near;  ///< Its upstream, where it follows one.
-  std::vector<Endpoint> Seeds; ///< Other daemons that everyone knows of.
-  bool IsSeed = false;         ///< This daemon is one that everyone knows of.
-  std::uint32_t FleetSize = 1; ///< Daemons that there are; errs high.
+  std::vector<Endpoint> Known; ///< All known peers.
+  std::vector<Endpoint> Near;  ///< The upstream daemon, if any.
+  std::vector<Endpoint> Seeds; ///< Seeds other than this daemon.
+  bool IsSeed = false;         ///< This daemon is a seed.
+  /// Estimated number of daemons; may be too high.
+  std::uint32_t FleetSize = 1;
 };
 
 /** \class ViewBackfill
- * \brief Get the missing back ends from peers, else from the store.
+ * \brief Get the missing backends from peers, or else from the store.
  */
 class ViewBackfill
 {
 public:
-  /// \param self where this daemon takes peer messages.
+  /// \param self where this daemon receives peer messages.
   /// All references outlive the object.
   ViewBackfill(const Endpoint& self,
                StoreReader& reader,
@@ -69,7 +68,8 @@
                const BackendRegistry& backends,
                Random& random);
 
-  /// Tell whether a view in use lacks back ends; ticks do nothing else.
+  /// Tell whether the view is usable but lacks backends.  Otherwise ticks have
+  /// no effect.
   bool IsNeeded() const
   {
     return this->Reader.isComplete() && !this->Reader.isWhole();
@@ -77,23 +77,24 @@
 
   void OnTick(const BackfillPeers& peers, Time now);
   void OnRequest(const ViewPageRequest& request, Time now);
-  /// \return whether it added back ends to this daemon's view.
+  /// \return whether backends were added to the view.
   bool OnPage(const ViewPage& page, Time now);
 
   std::vector<OutgoingBackfillMessage> TakeMessages();
   const ViewBackfillCounters& GetCounters() const { return this->Counters; }
 
 private:
-  /// Tell whether a page may be given now.
+  /// Tell whether a page may be sent now.
   bool CanServe(const ViewPageRequest& request, Time now);
-  /// Tell whether another daemon with a whole view is nearer to this one.
+  /// Tell whether a peer with a full view is closer to `peer` than this
+  /// daemon.
   bool KnowsCloserPeer(const Endpoint& peer) const;
-  /// SelectPeer one that is said to have a whole view; there has to be one.
+  /// Select a peer that is known to have a full view; there has to be one.
   const Endpoint& SelectFullViewPeer();
   void ServePage(const ViewPageRequest& request, ViewPage& page, Time now);
   void ScheduleStoreRead(const BackfillPeers& peers, Time now);
   void SendRequest(const Endpoint& peer, Time now);
-  /// SelectPeer a daemon to ask; this one where nobody is known.
+  /// Select a daemon to query; this daemon if no peer is known.
   Endpoint SelectPeer(const BackfillPeers& peers);
   void ApplyPage(const ViewPage& page, Time now);
   void AddFullViewPeer(const Endpoint& peer);
@@ -104,14 +105,15 @@
   const BackendRegistry& Backends;
   Random& RandomSource;
   RankedTokenBucket Allowance;
-  /// Daemons that are given pages, with the time of the last one.
+  /// Peers that are being sent pages, with the time of the last page.
   std::map<Endpoint, Time> Recipients;
-  std::deque<Endpoint>
-    FullViewPeers;     ///< Daemons that have whole views, newest last.
-  std::string LastKey; ///< Pages up to here were taken.
+  /// Daemons that have full views, newest last.
+  std::deque<Endpoint> FullViewPeers;
+  std::string LastKey; ///< Pages up to this key were applied.
   Time RequestedAt{};
-  bool MayRetry = false; ///< Once for each question at a tick.
-  Time StoreReadAt{}; ///< When pages are read from the store; zero: not begun.
+  bool MayRetry = false; ///< Allows one immediate retry per tick.
+  /// When to read pages from the store; zero: not scheduled.
+  Time StoreReadAt{};
   std::vector<OutgoingBackfillMessage> Outgoing;
   ViewBackfillCounters Counters;
 };
--- a/src/core/relay/view_difference.cc
+++ b/src/core/relay/view_difference.cc
@@ -58,7 +58,8 @@
                    have,
                    std::move(difference.undated),
                    std::move(difference.dated) };
-  // They are few, and a listing may have shown their ends.
+  // Evacuations are few, and a listing may have ended some at an unknown
+  // revision.
   for (StoreChange& change :
        this->Backends.evacuations().GetChangesSince(have)) {
     this->Cached.UnorderedChanges.push_back(std::move(change));
--- a/src/core/relay/view_difference.h
+++ b/src/core/relay/view_difference.h
@@ -1,12 +1,11 @@
 /// @file
-/// What a view lacks, read from a later view rather than from a log of
-/// changes.
+/// Computes the changes that an older view lacks from the current view instead
+/// of the change log.
 ///
-/// The log of changes is bounded and empty after a listing that replaced a
-/// lost history.  Each of 985 followers then listed 10,000 back ends for
-/// itself, 20,000 reads that took the store 16 s.  A view remembers the
-/// revision of each item, and those that departed for as long as a flow of
-/// theirs can live: that is a log without duplicates.
+/// The change log is bounded, and empty after a listing that replaced a lost
+/// history.  A view stores the revision of each item and keeps removed items
+/// for as long as their flows may live, so it can update peers that would
+/// otherwise all list the store again.
 #pragma once
 
 #include <cstdint>
@@ -20,12 +19,11 @@
 
 namespace cobaltgauge::core {
 
-/// Items of one part of a difference, about 50 bytes each: as many as a log
-/// holds.
+/// Items of one part of a difference, about 50 bytes each.
 inline constexpr std::size_t kMaxDifferenceItems = kHeaviestLog;
-/// Routes that are told to followers at most, about 90 bytes each: more than
-/// 45 KB to each of 32 followers would hold up callers' packets on a link of
-/// 20 Mbit/s for longer than half a second.  Each daemon reads a larger set.
+/// Maximum number of routes sent to followers, about 90 bytes each.  Larger
+/// sets would delay packets on slow links, so each daemon reads them from the
+/// store.
 inline constexpr std::size_t kMaxRelayedRoutes = 512;
 
 /** \class ViewDifference
@@ -41,39 +39,37 @@
   {
   }
 
-  /// Get what a view complete up to `have` lacks, in the order of revisions.
-  /// Back ends that a listing found gone come first: at which revision they
-  /// went is not known, and who got a part may go on with another daemon,
-  /// which knows and has told it before.
-  /// \param complete up to where this view is complete, and whole.
-  /// \return nothing where departures since then have been forgotten, or
-  /// where more than kMaxRelayedRoutes routes would have to be told.
+  /// Get the changes that a view complete up to `have` lacks, ordered by
+  /// revision.  Removals that were detected by a listing come first: their
+  /// revisions are unknown, and the recipient of a part may continue with
+  /// another daemon that sent them before.
+  /// \param complete revision up to which this full view is complete.
+  /// \return nothing if removals since `have` were discarded, or if more than
+  /// kMaxRelayedRoutes routes would have to be sent.
   std::optional<ChangeRange> Since(Revision have, Revision complete);
 
-  /// Get how many pages of the store the view fills.
+  /// Get the number of store pages that a listing of this view takes.
   std::size_t CountStorePages() const
   {
     return 1 + this->Backends.size() / kItemsOfStorePage;
   }
 
 private:
-  /// The changes since a revision, in order.  Followers that lack much ask
-  /// for part after part at the same time: 32 of them would have a hub look
-  /// through 10,000 back ends 320 times.
+  /// The changes since a revision, in order.  Cached because many followers
+  /// request successive parts at the same time.
   struct CachedChanges
   {
     bool IsValid = false;
-    std::uint64_t Generation = 0; ///< Of the back ends it was made from.
+    std::uint64_t Generation = 0; ///< Of the backends it was built from.
     Revision From = 0;
     std::vector<StoreChange> UnorderedChanges;
     std::vector<StoreChange> OrderedChanges;
   };
 
   void UpdateCache(Revision have);
-  /// Get the versions of the routes after `have`, as what each changed where
-  /// that is remembered: a whole set of 250 routes is 25 KB, for each of a
-  /// thousand daemons that ask three seeds.
-  /// \return nothing where they are too many.
+  /// Get the route versions after `have`, as deltas where these are still
+  /// stored, else as one full set.
+  /// \return nothing if there are too many routes.
   std::optional<std::vector<StoreChange>> GetRoutesSince(Revision have) const;
 
   const BackendRegistry& Backends;
--- a/src/core/relay/view_relay.cc
+++ b/src/core/relay/view_relay.cc
@@ -12,7 +12,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Ranks of daemons that are no seeds lie behind those of all seeds.
+/// Daemons that are not seeds rank after all seeds.
 constexpr std::uint64_t kNonSeedRankBase = std::uint64_t{ 1 } << 32U;
 
 std::uint64_t ComputeRank(const Endpoint& endpoint, bool isSeed)
@@ -91,7 +91,8 @@
 
 Duration ViewRelay::GetRelistDelay(Time now) const
 {
-  // Who follows a follower has not heard a seed of late, and can all the same.
+  // SeedGroup::HasReachableSeed() is not used here, as indirect followers do
+  // not hear from seeds.
   const bool hasOtherReaders = this->Difference != nullptr &&
     !this->Seeds.IsSelfSeed() && this->Seeds.HasOthers();
   if (!hasOtherReaders) {
--- a/src/core/relay/view_relay.h
+++ b/src/core/relay/view_relay.h
@@ -1,13 +1,13 @@
 /// @file
-/// Lets few daemons read the store and the others follow them.  See
-/// docs/design/005-view-relay.md.
+/// Lets a few daemons read the store and propagate its changes to the others.
+/// See docs/design/005-view-relay.md.
 ///
-/// A deterministic state machine without input or output.  Invariants:
-///  - A daemon knows how old its view can be at most, whatever was delayed:
-///    the age is bounded by a round trip on its own clock.
+/// A deterministic state machine that performs no I/O.  Invariants:
+///  - The age of a view has a known upper bound regardless of network delay,
+///    as it is measured by a round trip on the local clock.
 ///  - A daemon whose view may be older than its limit reads the store itself.
-///  - A view that came from a daemon never counts as fresher because it came
-///    back to it: only an answer of the store makes a view fresh.
+///  - Only a response of the store makes a view fresher; receiving one's own
+///    view back from a peer does not.
 #pragma once
 
 #include <cstdint>
@@ -32,7 +32,6 @@
 
 class FleetLoad;
 
-/// One message on its way to some peers.
 struct OutgoingRelayMessage
 {
   std::vector<Endpoint> Destinations;
@@ -44,13 +43,13 @@
     Message;
 };
 
-/// What became of an update.
+/// Result of processing an update.
 enum class UpdateOutcome : std::uint8_t
 {
   kApplied,   ///< It changed the view.
-  kConfirmed, ///< The view was up to date; its age is known anew.
-  kGap,       ///< The view lacks what the update builds on.
-  kUnusable,  ///< It says nothing about the view, or its age is unknown.
+  kConfirmed, ///< The view was up to date and is confirmed.
+  kGap,       ///< The view lacks the base of the update.
+  kUnusable,  ///< No view data, or of unknown age.
 };
 
 /// Counters of a ViewRelay; see docs/METRICS.md.
@@ -64,18 +63,19 @@
 };
 
 /** \class ViewRelay
- * \brief Decide who reads the store, and pass changes on.
+ * \brief Elect the daemons that read the store, and propagate changes.
  *
- * Readers are ranked; a reader that hears a fresh view of one that ranks
- * before it, or that the store fails, stops reading and follows.  Seeds rank
- * before all others, so that everyone can find the readers.  A follower
- * subscribes to one daemon for a lease and gets each change, and a sign of
- * life with each answer of the store.
+ * Readers are ranked.  A reader that receives a fresh view of a reader with
+ * higher priority, or whose own reads fail, stops reading and follows the
+ * sender.  Seeds have priority over all other daemons, so that every daemon
+ * can find the readers.  A follower subscribes to one daemon for the time of a
+ * lease and receives each change, and a keepalive with each response of the
+ * store.
  */
 class ViewRelay
 {
 public:
-  /// \param self where this daemon takes peer messages.
+  /// \param self where this daemon receives peer messages.
   /// All references outlive the relay.
   ViewRelay(const Endpoint& self,
             StoreReader& reader,
@@ -84,30 +84,29 @@
             OutlierDetector& outliers,
             Random& random);
 
-  /// Set how old a view may get before each step is taken.
+  /// Set the view ages at which queries and reads begin.
   void SetTiming(const RelayTiming& timing);
 
-  /// Name the daemons that everyone knows of.
   void SetSeeds(const std::vector<Endpoint>& seeds);
 
-  /// \param peers other daemons that may be asked.
+  /// \param peers other daemons that may be queried.
   void OnTick(const std::vector<Endpoint>& peers, Time now);
 
-  /// Call after the reader took an answer of the store.
+  /// Call after the reader processed a response of the store.
   void OnStoreReply(Time now);
 
   void OnSubscription(const ViewSubscription& subscription, Time now);
   UpdateOutcome OnUpdate(const ViewUpdate& update, Time now);
 
-  /// Take what another daemon has observed; seeds decide by it.
+  /// Process the observations of another daemon; only seeds detect outliers.
   void OnOutlierReport(const OutlierReport& report, Time now);
 
-  /// \param load told of the tree of followers, and what it tells is passed
-  /// on; outlives the relay.  Null: none.
+  /// \param load receives load messages and provides those to send; outlives
+  /// the relay.  May be null.
   void SetLoad(FleetLoad* load) { this->Load = load; }
 
-  /// \param difference tells what followers lack where the log does not
-  /// reach back, and of a view of how many back ends; outlives the relay.
+  /// \param difference provides changes where the log does not reach back, and
+  /// the size of the view; outlives the relay.
   void SetDifference(ViewDifference* difference)
   {
     this->Difference = difference;
@@ -115,34 +114,33 @@
   void OnLoadReport(const LoadReport& report, Time now);
   void OnLoadSummary(const LoadSummary& summary, Time now);
 
-  /// Take the back ends that this daemon has found to be outliers, for logs.
+  /// Take the backends that this daemon has detected as outliers, for logging.
   std::vector<BackendId> TakeDetectedOutliers();
 
-  /// Call after the process was suspended: its view may be old.
+  /// Call after the process was suspended, as the view may be stale.
   void OnResume();
 
-  /// Tell the followers to look for another daemon; this one stops.
+  /// Notify the followers that this daemon stops.
   void Leave();
 
   std::vector<OutgoingRelayMessage> TakeMessages();
 
-  /// Tell whether this daemon reads the store rather than follow a peer.
+  /// Tell whether this daemon reads the store instead of following a peer.
   bool IsReading() const { return this->Reading; }
-  /// Tell whether this daemon is one that everyone knows of.
   bool IsSeed() const { return this->Seeds.IsSelfSeed(); }
-  /// Get the others that everyone knows of.
+  /// Get the seeds other than this daemon.
   const std::vector<Endpoint>& GetSeeds() const
   {
     return this->Seeds.GetOthers();
   }
-  /// Get the daemon that is followed, if any.
+  /// Get the daemon that this one follows, if any.
   const std::optional<Endpoint>& GetUpstream() const { return this->Upstream; }
-  /// Get how many daemons there are; errs high.
+  /// Get the estimated number of daemons; may be too high.
   std::uint32_t GetFleetSize(Time now) const
   {
     return this->Fleet.GetEstimate(now);
   }
-  /// Get the daemons that follow this one, and the one that it follows.
+  /// Get the followers and the upstream daemon.
   std::vector<Endpoint> GetNeighbours() const;
   std::size_t CountFollowers() const { return this->Followers.Count(); }
   const ViewRelayCounters& GetCounters() const { return this->Counters; }
@@ -152,34 +150,35 @@
   void FollowSender(const ViewUpdate& update, Time now);
   void StopFollowing();
   void UpdateReaderActivity();
-  /// Tell what a view complete up to `have` lacks, by the log or by the view.
+  /// Get the changes that a view complete up to `have` lacks, from the log or
+  /// the view.
   std::optional<ChangeRange> GetChangesSince(Revision have) const;
-  /// Let the reader rest while seeds try a store that fails.
+  /// Adjust the reader's back-off to the state of the seeds and the store.
   void UpdateReaderBackOff(std::size_t peers, Time now);
-  /// Get how long a view without history waits at most for a peer's changes.
+  /// Get how long a view without history may wait for a peer's changes.
   Duration GetRelistDelay(Time now) const;
-  /// Get how long to leave between tries while seeds read in vain.
+  /// Get the retry interval for use while the seeds fail to read the store.
   Duration GetRetryInterval(std::size_t peers) const;
   Duration GetReadThreshold() const;
-  /// Read the store from now on, since no peer's view is fresh.
+  /// Start reading the store, since no peer provides a fresh view.
   void StartReading(std::size_t peers, Time now);
-  /// Tell whether a stale first listing can wait for a seed.
+  /// Tell whether a stale first listing can be updated by a seed.
   bool CanCatchUpFromPeers() const;
   void QueryPeers(const std::vector<Endpoint>& peers, Time now);
   void QuerySeed(Time now);
-  /// Draw a daemon that is near, as far as a few draws give one.
+  /// Select the closest of a few random daemons.
   const Endpoint& SelectNearbyPeer(const std::vector<Endpoint>& daemons);
-  /// QueryPeers for what an update left out, once for each revision; a daemon
-  /// that has no whole view yet reads it from the store.
+  /// Request the changes that an update lacked, once for each revision.  A
+  /// daemon without a complete view reads them from the store.
   void RequestMissingChanges(const Endpoint& sender, Time now);
   void SendSubscription(const Endpoint& destination, Time now);
   ViewUpdate MakeUpdate(Revision have, Time now) const;
-  /// Tell the followers, where there is something to tell.
+  /// Push an update if there are changes or a keepalive is due.
   void PushIfChanged(Time now);
   void PushUpdate(Time now);
   void ReportOutliers(Time now);
   bool IsOutlierAuthority(const Endpoint& sender) const;
-  /// Tell the daemon that is followed, and the followers, what is due.
+  /// Send due load messages to the upstream daemon and the followers.
   void ShareLoad(const std::vector<Endpoint>& peers, Time now);
   void SendLoad(Time now);
 
@@ -193,9 +192,9 @@
   std::vector<Endpoint> Referrals;
   RelayTiming Timing;
   std::uint64_t OwnRank = 0;
-  std::uint64_t ViewRank = 0; ///< Of the reader that confirmed the view last.
+  std::uint64_t ViewRank = 0; ///< Of the reader that last confirmed the view.
   bool Reading = true;
-  bool ReadRequested = false; ///< Once, though a peer is followed.
+  bool ReadRequested = false; ///< One read, even while following a peer.
   bool Leaving = false;
   std::optional<Endpoint> Upstream;
   FollowerLeases Followers;
--- a/src/core/relay/view_relay_followers.cc
+++ b/src/core/relay/view_relay_followers.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of ViewRelay that tells other daemons what this one knows.
+/// ViewRelay: subscriptions and updates sent to other daemons.
 #include <algorithm>
 #include <utility>
 
@@ -28,7 +28,7 @@
   update.clockUs = static_cast<std::uint64_t>(now.count());
   update.leaving = this->Leaving;
   update.outliers = this->Outliers.GetOutliers();
-  // The tree of a reader that is no seed may be one of many.
+  // The tree of a reader that is not a seed may be one of several.
   const bool isFleetSizeKnown = !this->Reading || this->Seeds.IsSelfSeed();
   update.daemons = isFleetSizeKnown ? this->Fleet.GetLatestCount() : 0;
   if (!this->Reader.isComplete()) {
@@ -38,7 +38,7 @@
   update.confirmedUs = static_cast<std::uint64_t>(confirmed);
   update.readerRank = this->ViewRank;
   update.revision = this->Log.GetCompleteRevision();
-  // Without the changes it only says how old a view of this revision is.
+  // Without changes, the update only confirms views of this revision.
   update.from = update.revision;
   if (const auto range = this->GetChangesSince(have)) {
     update.from = std::min(have, update.revision);
--- a/src/core/relay/view_relay_load.cc
+++ b/src/core/relay/view_relay_load.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of ViewRelay that carries load up and down the tree of followers.
+/// ViewRelay: load reports up and load summaries down the relay tree.
 #include "core/load/fleet_load.h"
 #include "core/relay/view_relay.h"
 
@@ -10,8 +10,8 @@
   if (this->Load == nullptr) {
     return;
   }
-  // The tree of a reader that is no seed may be one of many, and a seed that
-  // the store fails has none.
+  // The tree of a reader that is not a seed may be one of several.  A seed
+  // that cannot read the store is not the root of a tree.
   const bool hasNoPeers = peers.empty() && !this->Seeds.HasOthers();
   const bool isRoot = this->Reading &&
     (hasNoPeers || (this->Seeds.IsSelfSeed() && this->Reader.isCurrent(now)));
@@ -25,7 +25,7 @@
   if (this->Leaving) {
     return;
   }
-  // Between two ticks the daemon that is followed may have been given up.
+  // The upstream may have been dropped since the last tick.
   const bool isUpstreamCurrent =
     this->Upstream && this->Load->GetUpstream() == this->Upstream;
   std::optional<LoadReport> report =
--- a/src/core/relay/view_relay_outliers.cc
+++ b/src/core/relay/view_relay_outliers.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of ViewRelay that carries what daemons observe of back ends.
+/// ViewRelay: exchange of outlier observations.
 #include <utility>
 
 #include "core/relay/view_relay.h"
--- a/src/core/relay/view_relay_updates.cc
+++ b/src/core/relay/view_relay_updates.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of ViewRelay that takes what other daemons tell of their views.
+/// ViewRelay: processing of updates received from other daemons.
 #include "core/constants.h"
 #include "core/load/fleet_load.h"
 #include "core/relay/view_relay.h"
@@ -8,7 +8,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Tell whether an update holds only some of what its receiver lacks.
+/// Tell whether an update holds only part of the changes its receiver lacks.
 bool IsPartial(const ViewUpdate& update)
 {
   return update.revision != 0 && update.confirmedUs == 0;
@@ -43,7 +43,7 @@
   }
   const Revision before = this->Reader.revision();
   if (before == 0) {
-    // Who has a fresh view has been served just now.
+    // A fresh view on a peer implies that the store is available now.
     if (now - *confirmed < this->Timing.AskPeersAfter) {
       this->Reader.hurry(now);
     }
@@ -51,7 +51,8 @@
   }
   if (!this->ApplyUpdate(update, now)) {
     ++this->Counters.Gaps;
-    // A lost update is asked for; what the peer lacks too, the store has.
+    // A lost unsolicited update is requested again.  Changes missing from a
+    // response are read from the store.
     if (update.echoUs == 0) {
       this->RequestMissingChanges(update.sender, now);
     } else {
@@ -91,7 +92,8 @@
   if (update.revision <= have) {
     return true;
   }
-  // This view may hold what the sender has never seen, and would keep it.
+  // This view may hold items that the sender has never observed and would not
+  // remove.
   if (update.gap.Contains(have)) {
     return false;
   }
@@ -129,7 +131,7 @@
 
 void ViewRelay::RequestMissingChanges(const Endpoint& sender, Time now)
 {
-  // A fleet that starts would get most of the store's items from three seeds.
+  // A starting fleet would request most of the store's items from the seeds.
   if (!this->Reader.isComplete()) {
     this->ReadRequested = true;
     this->UpdateReaderActivity();
