--- a/tests/core/relay/change_log_test.cc
+++ b/tests/core/relay/change_log_test.cc
@@ -52,7 +52,7 @@
   BOOST_TEST(log.Since(99)->Changes.empty());
 }
 
-// A listing's pages arrive one after the other; only its end is a revision.
+// Only the end of a listing is a consistent revision, not each of its pages.
 BOOST_AUTO_TEST_CASE(open_batch_is_not_returned)
 {
   core::ChangeLog log = MakeLog(11);
@@ -64,7 +64,8 @@
   BOOST_TEST(log.Since(14)->Changes.size() == 1U);
 }
 
-// Ten thousand routes to thirty followers would fill a small machine's link.
+// Sending a very large route change to all followers would saturate a slow
+// link.
 BOOST_AUTO_TEST_CASE(oversized_change_is_omitted)
 {
   core::ChangeLog log = MakeLog(12);
@@ -79,14 +80,13 @@
   BOOST_TEST(log.Since(13)->Changes.size() == 1U);
 }
 
-// 295 daemons read the store for each batch of back ends that came back after
-// an outage, 1,528 times on a day (cflc-quotes-large trouble-3).
+// Guards against all followers reading the store after a large batch.
 BOOST_AUTO_TEST_CASE(large_batch_is_returned_in_parts)
 {
   constexpr core::Revision kLast = 10 + 3 * core::kHeaviestBatch;
   core::ChangeLog log;
   log.Close(10);
-  // The store answers by key, not by revision.
+  // The store responds in the order of keys, not of revisions.
   for (core::Revision revision = kLast; revision > 10;
        revision = revision - 1) {
     log.Append(Removal(revision));
@@ -127,8 +127,8 @@
   BOOST_TEST(range->EndRevision == 12U);
 }
 
-// A listing does not say when an item vanished: a part of it, taken for
-// complete up to some revision, would hide that for good.
+// A listing does not give the revisions of removals.  Splitting it could hide
+// a removal from followers permanently.
 BOOST_AUTO_TEST_CASE(large_listing_is_omitted)
 {
   core::ChangeLog log = MakeLog(12);
@@ -151,10 +151,9 @@
   BOOST_TEST(log.Since(log.GetBase())->Changes.size() <= core::kMostBatches);
 }
 
-// Seen: a back end that had announced its end got flows from followers 3.0 s
-// later.  The daemon that read the store had just started: a later page of its
-// first listing showed the end, newer than the first page, from which the log
-// began.  The watch from there showed it again, and nothing had changed.
+// A page of the first listing may show a change newer than the listing's
+// revision, which the following watch delivers again without effect.
+// Followers must not miss it.
 BOOST_AUTO_TEST_CASE(first_listing_with_newer_items_moves_the_base)
 {
   core::ChangeLog log;
--- a/tests/core/relay/follower_leases_test.cc
+++ b/tests/core/relay/follower_leases_test.cc
@@ -52,8 +52,7 @@
               referrals.end()));
 }
 
-// 295 daemons in five zones followed three seeds and each other at random:
-// each change crossed between zones 240 times.
+// Guards against each change crossing between zones once per daemon.
 BOOST_AUTO_TEST_CASE(followers_from_a_remote_network_are_limited)
 {
   core::FollowerLeases leases(endpoint(9, 250, 7720));
@@ -64,7 +63,7 @@
     BOOST_TEST(leases.Grant(remote(i), 1, 100s));
   }
   BOOST_TEST(!leases.Grant(remote(100), 1, 100s));
-  // A renewal, its own network and yet another one are not concerned.
+  // Renewals, the local network and other remote networks are not limited.
   BOOST_TEST(leases.Grant(remote(1), 1, 100s));
   BOOST_TEST(leases.Grant(Follower(1), 1, 100s));
   BOOST_TEST(leases.Grant(endpoint(5, 1, 7720), 1, 100s));
--- a/tests/core/relay/logged_changes_test.cc
+++ b/tests/core/relay/logged_changes_test.cc
@@ -1,11 +1,11 @@
-/// What a view's change log must hold so that any follower ends up with the
-/// same view, whatever it had heard before.
+/// Changes that the log must hold so that all followers reach the same view,
+/// whatever updates they received before.
 #include "core/relay/relay_fixture.h"
 
 namespace cobaltgauge::tests {
 namespace {
 
-/// A view that is complete up to revision 10 and holds one back end.
+/// A view that is complete up to revision 10 and holds one backend.
 struct LoggedChangesFixture : LoggedView
 {
   core::Registration Registered = makeRegistration(1, "web", 1, 1);
@@ -24,9 +24,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(LoggedChangesTest, LoggedChangesFixture)
 
-// An update brings a lapsed registration's removal and its return together.
-// To this view nothing happened; a follower that had heard of the removal
-// from another daemon kept the back end out until it changed again.
+// A removal and an identical registration may arrive together and leave this
+// view unchanged.  A follower that received the removal from another daemon
+// still needs the registration.
 BOOST_AUTO_TEST_CASE(identical_reregistration_is_propagated)
 {
   this->Take(12, this->Registered);
--- a/tests/core/relay/peer_clocks_test.cc
+++ b/tests/core/relay/peer_clocks_test.cc
@@ -10,7 +10,6 @@
 
 using namespace std::chrono_literals;
 
-/// A peer whose clock is 1,000 s ahead.
 struct PeerClocksFixture
 {
   static constexpr core::Duration kAhead = 1000s;
@@ -23,8 +22,8 @@
     return static_cast<std::uint64_t>(time.count());
   }
 
-  /// An answer to what was asked at `asked`, written at `written` and telling
-  /// of a view that was confirmed at `confirmed`, all on this daemon's clock.
+  /// A response to a request sent at `asked`, written at `written`, with a
+  /// view that was confirmed at `confirmed`, all on the local clock.
   core::ViewUpdate Answer(core::Time asked,
                           core::Time written,
                           core::Time confirmed) const
--- a/tests/core/relay/relay_changes_test.cc
+++ b/tests/core/relay/relay_changes_test.cc
@@ -1,4 +1,4 @@
-/// How changes are passed on, in parts or not at all.
+/// Propagation of changes, in parts and with fallback to the store.
 #include "core/relay/view_relay.h"
 
 #include "core/constants.h"
@@ -9,7 +9,7 @@
 
 using core::UpdateOutcome;
 
-/// Changes must be in force within 3 s on every daemon that is in touch.
+/// Changes must be in effect within this time on every reachable daemon.
 constexpr core::Duration kPropagationLimit = 3s;
 
 BOOST_FIXTURE_TEST_SUITE(RelayChangesTest, RelayFixture)
@@ -33,8 +33,8 @@
   BOOST_TEST(this->CountReading() == 1U);
 }
 
-// 600 registrations that come back together made 295 daemons read the store
-// three times each (cflc-quotes-large, every start and every lapse).
+// Guards against followers reading the store when many backends register at
+// once.
 BOOST_AUTO_TEST_CASE(large_batch_is_propagated_in_parts)
 {
   this->GrowTo(30);
@@ -52,9 +52,7 @@
   BOOST_TEST(this->CountCalls() - before <= 5U);
 }
 
-// Each update that lacks the base led to a subscription, and each question to
-// the same part once more: 130 MB between zones with 300 daemons and 3,000
-// back ends.
+// Guards against requesting and receiving the same part once per update.
 BOOST_AUTO_TEST_CASE(missing_changes_are_requested_once)
 {
   this->Run(5s);
@@ -77,12 +75,12 @@
     requests += follower.Relay.TakeMessages().size();
   }
   BOOST_TEST(requests == 1U);
-  // The question or its answer may be lost.
+  // The request or its response may be lost.
   follower.Relay.OnUpdate(update, clock + core::kAskPeersEvery);
   BOOST_TEST(follower.Relay.TakeMessages().size() == 1U);
 }
 
-// The sender dies between two parts: the rest comes from the store.
+// If the sender fails between two parts, the rest is read from the store.
 BOOST_AUTO_TEST_CASE(partial_update_does_not_confirm_the_view)
 {
   this->Run(5s);
@@ -115,10 +113,8 @@
   BOOST_TEST(follower.Backends.activeCount() == 1 + 2 * core::kHeaviestBatch);
 }
 
-// A daemon asked a peer that lacked the changes, and had caught up in part by
-// another when the answer came: it took the answer's revision without what lay
-// between, and served an old version for ten seconds (lantern-archive-grown, a
-// drawn day: CONFIG).
+// An outdated response without changes must not advance a view past changes
+// that it lacks.
 BOOST_AUTO_TEST_CASE(answer_without_changes_does_not_advance_the_view)
 {
   this->Run(5s);
@@ -129,7 +125,7 @@
   requester.StoreRefuses = true;
   this->AddManyRoutes(8);
   this->Run(1s);
-  // By another way it has come to where the changes that are kept begin.
+  // It reached the base of the peer's log by another path.
   const core::Revision base = peer.Log.GetBase();
   BOOST_REQUIRE(base > before);
   requester.Reader.adopt(base);
@@ -138,7 +134,7 @@
   BOOST_REQUIRE(peer.Routes.version() == 9U);
   const core::Time clock = peer.Clock(this->Now);
   const auto sentAt = requester.Clock(this->Now).count();
-  peer.Relay.SetDifference(nullptr); // As where departures were forgotten.
+  peer.Relay.SetDifference(nullptr); // As if removals were discarded.
   peer.Relay.TakeMessages();
   peer.Relay.OnSubscription(
     { requester.Address, before, static_cast<std::uint64_t>(sentAt) }, clock);
@@ -152,8 +148,8 @@
   BOOST_TEST(requester.Reader.revision() == base);
 }
 
-// A stale listing and some of what changed since may be seconds old: nothing
-// is placed by it.
+// A stale listing with part of the later changes may still be seconds old and
+// must not be used to place flows.
 BOOST_AUTO_TEST_CASE(partial_update_does_not_complete_a_stale_listing)
 {
   this->Run(5s);
@@ -185,7 +181,8 @@
   requestUpdate();
   BOOST_TEST(starting.Reader.revision() > listed);
   BOOST_TEST(!starting.Reader.isComplete());
-  // Three seeds would have to send a starting fleet most of the store.
+  // A starting fleet must not request most of the store's items from the
+  // seeds.
   BOOST_TEST(starting.Relay.TakeMessages().empty());
   BOOST_TEST(starting.Reader.nextRead(clock).has_value());
 }
--- a/tests/core/relay/relay_failing_store_test.cc
+++ b/tests/core/relay/relay_failing_store_test.cc
@@ -1,4 +1,4 @@
-/// Who tries a store that fails, and how often.
+/// Retries while the store fails.
 #include "core/relay/view_relay.h"
 
 #include "core/constants.h"
@@ -7,13 +7,12 @@
 namespace cobaltgauge::tests {
 namespace {
 
-/// Changes must be in force within 3 s on every daemon that is in touch.
+/// Changes must be in effect within this time on every reachable daemon.
 constexpr core::Duration kPropagationLimit = 3s;
 
 BOOST_FIXTURE_TEST_SUITE(RelayFailingStoreTest, RelayFixture)
 
-// With 295 daemons an outage cost 5,400 refused calls (cflc-quotes-large
-// trouble-3).
+// Guards against a retry storm of the whole fleet during a store outage.
 BOOST_AUTO_TEST_CASE(few_daemons_retry_an_unavailable_store)
 {
   this->GrowTo(30);
@@ -22,15 +21,14 @@
   this->Run(5s);
   const std::uint64_t before = this->CountCalls();
   this->Run(10s);
-  // Three seeds try twice a second, the others about once in two seconds.
+  // Three seeds retry twice a second, the others about once in two seconds.
   BOOST_TEST(this->CountCalls() - before < 240U);
   this->SetStoreRefusesAll(false);
   this->ChangeRoutes(9);
   BOOST_TEST((this->TimeUntilApplied(9) < kPropagationLimit));
 }
 
-// 284 followers tried the store twice within a second of its failure
-// (cflc-quotes-large trouble-2 and trouble-3).
+// Guards against all followers retrying at the same time when the store fails.
 BOOST_AUTO_TEST_CASE(followers_of_failing_seeds_spread_their_retries)
 {
   this->GrowTo(40);
@@ -38,21 +36,21 @@
   this->SetStoreRefusesAll(true);
   std::uint64_t before = this->CountCalls();
   this->Run(core::kFollowerReadsAfter + 500ms);
-  // Three seeds try twice a second; 37 others in three seconds.
+  // Three seeds retry twice a second, 37 other daemons once in three seconds.
   BOOST_TEST(this->CountCalls() - before < 25U);
   before = this->CountCalls();
   this->Run(2500ms);
   BOOST_TEST(this->CountCalls() - before < 55U);
   before = this->CountCalls();
   this->Run(6s);
-  // The others once in nine seconds.
+  // The other daemons retry once in nine seconds.
   BOOST_TEST(this->CountCalls() - before < 75U);
   this->SetStoreRefusesAll(false);
   this->ChangeRoutes(9);
   BOOST_TEST((this->TimeUntilApplied(9) < 1500ms));
 }
 
-// The store turns the seeds away and serves the others: they find out in time.
+// The store refuses only the seeds; other daemons must detect this in time.
 BOOST_AUTO_TEST_CASE(seeds_refused_by_the_store_do_not_delay_changes)
 {
   for (const std::size_t daemons : { 7U, 12U, 40U }) {
@@ -92,7 +90,7 @@
   BOOST_TEST((this->TimeUntilApplied(9) < 2s));
 }
 
-// Only the seeds are served: the others must not wait to learn of a change.
+// The store serves only the seeds; other daemons must still receive changes.
 BOOST_AUTO_TEST_CASE(daemons_in_back_off_receive_changes_from_seeds)
 {
   this->GrowTo(30);
--- a/tests/core/relay/relay_fixture.h
+++ b/tests/core/relay/relay_fixture.h
@@ -1,6 +1,6 @@
 /// @file
-/// A fleet of daemons that follow each other, with a store to read, in virtual
-/// time and with clocks of their own.
+/// Simulates a fleet of daemons and a store in virtual time.  Each daemon has
+/// its own clock.
 #pragma once
 
 #include <algorithm>
@@ -20,7 +20,7 @@
 
 inline constexpr core::Duration kStep = 100ms;
 
-/// A view with the log of its changes.
+/// A view with its change log.
 struct LoggedView
 {
   core::EqualWeights Weights;
@@ -33,7 +33,7 @@
                              &this->Log };
 };
 
-/// One daemon's view and relay, with a clock of its own.
+/// A daemon with its view, relay and clock.
 struct Node : LoggedView
 {
   core::Endpoint Address;
@@ -56,12 +56,11 @@
   std::optional<core::StoreRead> Pending;
   core::Time RequestedAt{};
   std::uint64_t Calls = 0;
-  std::uint64_t ItemsRead = 0;    ///< Of the store.
+  std::uint64_t ItemsRead = 0;    ///< From the store.
   bool Alive = true;              ///< Neither killed nor frozen.
-  bool StoreUnresponsive = false; ///< The store's answers do not reach it.
+  bool StoreUnresponsive = false; ///< It receives no responses of the store.
   bool StoreRefuses = false;
-  bool IsPartitioned =
-    false; ///< No message of a peer reaches it, nor its own any.
+  bool IsPartitioned = false; ///< It exchanges no messages with peers.
 
   Node(std::uint8_t host, core::Duration clockOffset)
     : Address(endpoint(9, host, 7720))
@@ -89,19 +88,18 @@
     Content;
 };
 
-/// A fleet whose first three daemons are everyone's seeds.
+/// A fleet whose first three daemons are the seeds.
 struct RelayFixture
 {
   static constexpr std::size_t kSeeds = 3;
 
   FakeStore Store;
   std::vector<std::unique_ptr<Node>> Nodes;
-  std::vector<Message> QueuedMessages; ///< For a daemon that is frozen.
+  std::vector<Message> QueuedMessages; ///< Messages for frozen daemons.
   core::Time Now = 100s;
-  /// What a read gives where the store refuses.
+  /// Result of a read that the store refuses.
   core::ReadOutcome Refusal = core::ReadOutcome::kThrottled;
-  std::uint64_t DropInterval =
-    0; ///< Every so many messages one is lost; 0: none.
+  std::uint64_t DropInterval = 0; ///< Drops every Nth message; 0: none.
   std::uint64_t Sent = 0;
 
   RelayFixture()
@@ -116,7 +114,7 @@
     std::vector<core::Endpoint> seeds;
     while (this->Nodes.size() < count) {
       const auto host = static_cast<std::uint8_t>(this->Nodes.size() + 1);
-      // Clocks of machines have nothing to do with each other.
+      // Clocks of different machines are unrelated.
       this->Nodes.push_back(std::make_unique<Node>(host, host * 1000s));
     }
     for (std::size_t i = 0; i < kSeeds; ++i) {
@@ -129,8 +127,9 @@
 
   Node& At(std::size_t index) { return *this->Nodes[index]; }
 
-  /// The store answers a read at once where it has news, else after its wait.
-  /// \return whether it answered, so that the daemon may read again.
+  /// Respond to a read immediately if there are changes, else after its wait
+  /// time.
+  /// \return whether the store responded, so that the daemon may read again.
   bool ServeStore(Node& node)
   {
     const core::Time clock = node.Clock(this->Now);
@@ -152,7 +151,7 @@
       }
     } else {
       reply = this->Store.answer(*node.Pending);
-      // That the history is gone is answered at once.
+      // A watch from a discarded revision fails immediately.
       const bool mayWait =
         node.Pending->kind == core::StoreRead::Kind::kWatch &&
         reply->outcome == core::ReadOutcome::kAnswered;
@@ -257,7 +256,7 @@
       if (node->Alive) {
         node->Relay.OnTick(peers, node->Clock(this->Now));
         this->BackfillView(*node, peers);
-        // A daemon goes on reading before it hears its peers.
+        // A daemon may read several times before it processes peer messages.
         for (int reads = 0; reads < 3 && this->ServeStore(*node); ++reads) {
         }
       }
@@ -303,7 +302,6 @@
     return calls;
   }
 
-  /// \return the daemons that read the store now.
   std::vector<Node*> Readers()
   {
     std::vector<Node*> readers;
@@ -315,7 +313,7 @@
     return readers;
   }
 
-  /// \return how long it takes until all that live have this version.
+  /// \return how long it takes until all reachable daemons have this version.
   core::Duration TimeUntilApplied(core::ConfigurationVersion version)
   {
     const core::Time began = this->Now;
@@ -337,7 +335,7 @@
     }
   }
 
-  /// A change too large to be passed on: everyone reads it from the store.
+  /// A change too large to be propagated in one batch.
   void AddManyRoutes(core::ConfigurationVersion version)
   {
     std::vector<std::pair<std::uint8_t, std::string>> routes;
@@ -347,7 +345,7 @@
     this->Store.put("op/config", makeRoutes(version, routes));
   }
 
-  /// Back ends that register together, in one batch.
+  /// Add backends in one batch.
   void AddBackends(std::size_t count)
   {
     for (std::uint64_t id = 10; id < 10 + count; ++id) {
--- a/tests/core/relay/relay_starts_test.cc
+++ b/tests/core/relay/relay_starts_test.cc
@@ -1,4 +1,4 @@
-/// How a fleet that starts gets its view.
+/// Initial views of a starting fleet.
 #include "core/relay/view_relay.h"
 
 #include "core/constants.h"
@@ -7,12 +7,12 @@
 namespace cobaltgauge::tests {
 namespace {
 
-/// Changes must be in force within 3 s on every daemon that is in touch.
+/// Changes must be in effect within this time on every reachable daemon.
 constexpr core::Duration kPropagationLimit = 3s;
 
 BOOST_FIXTURE_TEST_SUITE(RelayStartsTest, RelayFixture)
 
-// A daemon without any view gets one through the ViewExchange.
+// A daemon without a view receives one through the ViewExchange.
 BOOST_AUTO_TEST_CASE(refused_daemons_follow_served_daemons)
 {
   this->Run(3s);
@@ -28,22 +28,21 @@
   }
 }
 
-// Each of 295 daemons that started together began a watch of its own before it
-// had heard of a reader.
+// Guards against each daemon of a starting fleet watching the store.
 BOOST_AUTO_TEST_CASE(starting_fleet_catches_up_from_its_seeds)
 {
   this->GrowTo(30);
   this->Run(3s);
   BOOST_TEST(this->CountReading() == 1U);
-  // A listing each, and what three seeds read until they agree.
+  // One listing for each daemon, and the reads of three seeds until one is
+  // elected.
   BOOST_TEST(this->CountCalls() <= 30U + 13U);
   for (auto& node : this->Nodes) {
     BOOST_TEST(node->Reader.isCurrent(node->Clock(this->Now)));
   }
 }
 
-// 295 daemons that were all killed while the store was away tried it 3,600
-// times a second (lapse_and_total_restart on cflc-quotes-large).
+// Guards against a retry storm when the fleet restarts during a store outage.
 BOOST_AUTO_TEST_CASE(fleet_without_views_leaves_retries_to_its_seeds)
 {
   this->GrowTo(40);
@@ -52,7 +51,7 @@
   this->Run(1s);
   const std::uint64_t before = this->CountCalls();
   this->Run(5s);
-  // Three seeds try every 75 ms, 37 others every 600 ms.
+  // Three seeds retry every 75 ms, 37 other daemons every 600 ms.
   BOOST_TEST(this->CountCalls() - before < 560U);
   this->SetStoreRefusesAll(false);
   this->Run(700ms);
@@ -73,8 +72,8 @@
   }
 }
 
-// Pages of a listing are no snapshot: a later one may show an item that the
-// seed never saw, since it came and went between two of the seed's reads.
+// A listing is not a snapshot: a later page may show an item that was added
+// and removed between two reads of the seed.
 BOOST_AUTO_TEST_CASE(removal_of_an_item_unknown_to_the_seed_is_propagated)
 {
   this->Run(5s);
@@ -90,7 +89,7 @@
                                 this->Store.revision(),
                                 core::RemovedItem{} };
   const core::Time clock = reader.Clock(this->Now);
-  // The store's answer to the seed holds what was last true of the item.
+  // The store's response to the seed holds only the latest state of the item.
   reader.Updater.onChange(gone, clock);
   reader.Log.Close(this->Store.revision());
   const auto range = reader.Log.Since(listed);
--- a/tests/core/relay/relayed_evacuations_test.cc
+++ b/tests/core/relay/relayed_evacuations_test.cc
@@ -1,4 +1,4 @@
-/// How evacuations of zones reach every daemon by the relay.
+/// Propagation of zone evacuations by the relay.
 #include "core/constants.h"
 #include "core/relay/relay_fixture.h"
 
@@ -6,13 +6,13 @@
 namespace {
 
 constexpr const char* kKey = "op/evacuate/a";
-/// A zone must be out this long after its evacuation was acknowledged.
+/// An evacuation must be in effect within this time.
 constexpr core::Duration kPropagationLimit = 3s;
 
 struct RelayedEvacuationsFixture : RelayFixture
 {
-  /// \return how long it takes until the zone is out, or back, on all daemons
-  /// that live.
+  /// \return how long it takes until the zone is evacuated, or restored, on
+  /// all running daemons.
   core::Duration TimeUntil(bool evacuated)
   {
     const core::Time began = this->Now;
--- a/tests/core/relay/seed_group_test.cc
+++ b/tests/core/relay/seed_group_test.cc
@@ -10,7 +10,7 @@
 
 using namespace std::chrono_literals;
 
-/// A daemon that knows two seeds, and what the first of them answers.
+/// A daemon that knows two seeds, and responses of the first one.
 struct SeedGroupFixture
 {
   core::Endpoint First = endpoint(9, 1, 7720);
@@ -78,7 +78,7 @@
   this->Seeds.OnUpdate(
     this->AnswerWithViewAge(limit), this->Timing, this->Now);
   BOOST_TEST(this->Seeds.IsStoreFailing(this->Now));
-  // It is believed for a while, and until a seed is served again.
+  // The failure state expires, and ends early when a seed is served again.
   BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now + core::kSeedHeardWithin));
   this->Seeds.OnUpdate(this->AnswerWithViewAge(10ms), this->Timing, this->Now);
   BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now));
--- a/tests/core/relay/store_era_stateful_test.cc
+++ b/tests/core/relay/store_era_stateful_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// A fleet under random changes, cuts, kills and a store that comes back from
-/// older copies, against the simplest oracle: what the store holds in the end.
+/// Randomized test of a fleet under changes, partitions, restarts and store
+/// restores.  After each round, all views must match the store.
 #include <map>
 #include <set>
 #include <string>
@@ -12,7 +12,7 @@
 namespace cobaltgauge::tests {
 namespace {
 
-/// A back end as it lives, whatever the store knows of it.
+/// Actual state of a backend, independent of the store.
 struct SimulatedBackend
 {
   bool Alive = true;
@@ -25,8 +25,8 @@
   static constexpr std::size_t kDaemons = 8;
   static constexpr std::size_t kChangesPerRound = 24;
   static constexpr std::uint64_t kFirstBackend = 10;
-  /// After which everything has to be known everywhere once all is well: what
-  /// the store has lost is written again by then, and in force 3 s later.
+  /// Time until all daemons have converged after faults end.  Covers rewriting
+  /// lost items and propagating them.
   static constexpr core::Duration kSettlingTime = 6s;
 
   sim::SeededRandom Random;
@@ -98,9 +98,9 @@
     }
   }
 
-  /// What the copy lacks is written again, by operators and by back ends;
-  /// whoever is gone says nothing, and its item lapses.  What the copy has
-  /// stays as it is: heartbeats that say nothing new raise no revision.
+  /// Operators and backends rewrite what the restored copy lacks, and items of
+  /// stopped backends expire.  Unchanged items are not rewritten, as heartbeats
+  /// without changes raise no revision.
   void RewriteLostItems()
   {
     const core::StoreChange* routes = this->Store.find("op/config");
@@ -135,8 +135,8 @@
     return isLeaving != backend.Leaving;
   }
 
-  /// An end that a daemon has heard of stays known to it, though the store
-  /// knows nothing of it for a while.
+  /// Get the announced shutdowns that daemons know.  They must be kept while
+  /// the restored store lacks them.
   std::set<std::pair<const Node*, std::uint64_t>> KnownShutdowns() const
   {
     std::set<std::pair<const Node*, std::uint64_t>> known;
@@ -153,7 +153,7 @@
     return known;
   }
 
-  /// So does a zone that is out.
+  /// Get the daemons that must keep the zone evacuated after a restore.
   std::set<const Node*> DaemonsWithZoneEvacuated(const std::string& zone)
   {
     std::set<const Node*> daemons;
@@ -171,7 +171,7 @@
     if (!this->Copy) {
       return;
     }
-    this->AddTrace("comes back from " + std::to_string(this->Copy->revision));
+    this->AddTrace("restore from " + std::to_string(this->Copy->revision));
     const bool wasUnavailable = this->Random.below(2) == 0;
     if (wasUnavailable) {
       this->Refusal = core::ReadOutcome::kConnectionLost;
@@ -188,11 +188,12 @@
     }
     for (const auto& [node, id] : knownShutdowns) {
       BOOST_TEST(!node->Backends.takesNewFlows(core::BackendId{ id }),
-                 "back end " << id << " is given flows again" << this->Trace);
+                 "backend " << id << " accepts new flows again"
+                            << this->Trace);
     }
     for (const Node* node : knownEvacuated) {
       BOOST_TEST(node->Backends.evacuations().IsEvacuated("b"),
-                 "the zone is given flows again" << this->Trace);
+                 "the zone is no longer evacuated" << this->Trace);
     }
     this->RewriteLostItems();
   }
@@ -223,7 +224,7 @@
         return;
       }
       case 1:
-        this->AddTrace("leave " + std::to_string(id));
+        this->AddTrace("drain " + std::to_string(id));
         backend.Leaving = true;
         break;
       default:
@@ -276,7 +277,7 @@
     }
   }
 
-  /// A fault of one daemon, until all heal.
+  /// Apply a fault to one daemon until ClearFaults().
   void InjectFault(Node& node)
   {
     switch (this->Random.below(4)) {
@@ -285,7 +286,7 @@
         node.Alive = false;
         break;
       case 1:
-        this->AddTrace("silent store");
+        this->AddTrace("unresponsive store");
         node.StoreUnresponsive = true;
         break;
       case 2:
@@ -293,7 +294,7 @@
         node.StoreRefuses = true;
         break;
       default:
-        this->AddTrace("cut off");
+        this->AddTrace("partitioned");
         node.IsPartitioned = true;
     }
   }
@@ -328,7 +329,7 @@
         for (const auto& [id, backend] : this->Backends) {
           const bool acceptsNewFlows =
             node.Backends.takesNewFlows(core::BackendId{ id });
-          BOOST_TEST_CONTEXT("back end " << id)
+          BOOST_TEST_CONTEXT("backend " << id)
           {
             BOOST_TEST(acceptsNewFlows == (backend.Alive && !backend.Leaving));
           }
@@ -337,7 +338,7 @@
     }
   }
 
-  /// Departures and lost items are forgotten as time goes by.
+  /// Run all daemons and discard expired removals.
   void RunAll(core::Duration span)
   {
     for (const core::Time end = this->Now + span; this->Now < end;) {
--- a/tests/core/relay/store_era_test.cc
+++ b/tests/core/relay/store_era_test.cc
@@ -1,18 +1,8 @@
 /// @file
-/// A store that comes back from an older copy of itself.
+/// Restores of the store from an older copy.
 ///
-/// Seen: a back end that had announced its end got new flows for more than
-/// three seconds from some daemons, and a confirmed version of the routes was
-/// not in force there.  It began after the store had been away for two
-/// seconds and ended with the store's next change but some.
-/// How it came about: the store came back from a copy some seconds old and
-/// gave out the revisions of what it had lost again.  The daemon that reads it
-/// listed it and took what it found, but kept the highest revision that it had
-/// ever seen as its place; its followers took each of its updates for one that
-/// they had, and were confirmed to be in step.
-/// Cause: a bare revision was taken for the order of all that was ever
-/// written.  Proof: the changes that were late are just those whose revisions
-/// had been given out before, and all came with the first one above.
+/// Guards against daemons ignoring changes after a restore because the store
+/// reuses revision numbers of changes that it lost.
 #include "core/relay/view_relay.h"
 
 #include <boost/test/unit_test.hpp>
@@ -22,13 +12,13 @@
 namespace cobaltgauge::tests {
 namespace {
 
-/// In which a confirmed change has to be in force at every daemon.
+/// A confirmed change must be in effect on every daemon within this time.
 constexpr core::Duration kPropagationLimit = 3s;
 
 struct RestoredStoreFixture : RelayFixture
 {
-  /// Four versions are in force everywhere; then the store is away, comes back
-  /// from a copy that has none of them, and the last one is written again.
+  /// Apply four versions everywhere, restore the store from a copy that has
+  /// none of them, and write the last version again.
   void RestoreOlderCopy()
   {
     this->Run(5s);
@@ -83,8 +73,8 @@
   BOOST_TEST((this->TimeUntilApplied(12) <= kPropagationLimit));
 }
 
-// Each listing was followed by a watch after a revision that the store did not
-// have yet, and that by another listing: sixty pairs a second.
+// Guards against alternating listings and watches from a revision that the
+// restored store does not have yet.
 BOOST_AUTO_TEST_CASE(restore_costs_few_reads)
 {
   this->RestoreOlderCopy();
@@ -93,9 +83,9 @@
   BOOST_TEST(this->CountCalls() - calls <= 5 * this->Nodes.size());
 }
 
-// The version was written again, with the number and the routes that it had
-// had before: at the daemon that reads the store nothing changed, so it told
-// nobody.
+// The rewritten version equals the old one, so the view of the reader is
+// unchanged.  It must still be propagated to daemons that started after the
+// restore.
 BOOST_AUTO_TEST_CASE(
   daemon_started_after_the_restore_receives_the_rewritten_version)
 {
@@ -112,8 +102,7 @@
   BOOST_TEST((this->TimeUntilApplied(8) <= kPropagationLimit));
 }
 
-// A return tells nobody of what the copy has as it was known: 450 KB for each
-// daemon where there are 10,000 back ends.
+// Guards against sending all unchanged items to every daemon after a restore.
 BOOST_AUTO_TEST_CASE(unchanged_registrations_are_not_sent_again)
 {
   this->AddBackends(200);
@@ -142,8 +131,8 @@
   }
 }
 
-/// The seeds are cut off while a back end is added that only the others learn
-/// of; nobody has it any more when all meet again.
+/// Adds a backend that only daemons other than the seeds observe, and which no
+/// longer exists once the partition ends.
 struct LostRegistrationFixture : RestoredStoreFixture
 {
   FakeStore::Copy Before;
@@ -161,7 +150,7 @@
     this->SetStoreRefusesAll(true);
   }
 
-  /// The seeds are heard before the others read.
+  /// The seeds are reachable before the other daemons read the store.
   void EndPartition()
   {
     for (std::size_t i = 0; i < kSeeds; ++i) {
@@ -185,8 +174,8 @@
   BOOST_TEST(this->CountAcceptingNewFlows(3) == this->Nodes.size());
 }
 
-// The same without a copy: who reads has lost the history of a back end that
-// came and went, and compares a listing with a view that never had it.
+// As above, but with a lost history: the reader compares a listing with a view
+// that never held the removed backend.
 BOOST_FIXTURE_TEST_CASE(
   backend_lost_with_the_history_is_removed_from_followers,
   LostRegistrationFixture)
--- a/tests/core/relay/view_backfill_test.cc
+++ b/tests/core/relay/view_backfill_test.cc
@@ -1,4 +1,4 @@
-/// How a large fleet's views get whole: one reads, the others ask each other.
+/// Backfill of sampled views in a large fleet.
 #include "core/relay/view_backfill.h"
 
 #include "core/constants.h"
@@ -27,7 +27,7 @@
     this->Store.pageSize = 500;
   }
 
-  /// All daemons lose what they know and start at one moment.
+  /// Restart all daemons at once without state.
   void RestartAll()
   {
     const std::size_t count = this->Nodes.size();
@@ -82,9 +82,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ViewBackfillTest, BackfillFixture)
 
-// 985 daemons that lost power together read 10,000 registrations each and
-// served again after 16 s (cflc-quotes-fleet scale-1): the store's link bore
-// daemons times back ends.
+// Guards against a load on the store that grows with daemons times backends.
 BOOST_AUTO_TEST_CASE(items_read_at_start_do_not_grow_with_backends)
 {
   this->Start(kManyBackends);
@@ -98,7 +96,6 @@
   const std::uint64_t forSamples = kDaemons * 8 * core::kPlacementLooks;
   const std::uint64_t wholeListings = 2 * kSeeds * (kManyBackends + 1);
   BOOST_TEST(items < forSamples + wholeListings);
-  // What everyone read before.
   BOOST_TEST(items < kDaemons * kManyBackends / 2);
 }
 
@@ -111,8 +108,8 @@
   }
 }
 
-// The samples of all daemons cover the back ends evenly: none is left out of
-// what the fleet knows, beyond chance, and none is known to most of it.
+// Samples must cover the backends evenly; no backend may be known to most
+// daemons.
 BOOST_AUTO_TEST_CASE(samples_differ_between_daemons)
 {
   this->Start(kManyBackends);
@@ -143,8 +140,8 @@
   BOOST_TEST(this->CountItemsRead() < kDaemons * kManyBackends / 2);
 }
 
-// A removal that a daemon heard while it knew nothing of the back end must
-// outlast the pages that still hold it.
+// A removal received before the backend is known must not be undone by older
+// pages.
 BOOST_AUTO_TEST_CASE(changes_during_backfill_are_kept)
 {
   this->Start(kManyBackends);
@@ -172,7 +169,7 @@
   BOOST_TEST((this->TimeUntilFullViews() < 10s));
 }
 
-// While the store is away, who lacks back ends gets them from peers alone.
+// While the store is unavailable, missing backends come from peers alone.
 BOOST_AUTO_TEST_CASE(backfill_works_while_the_store_is_unavailable)
 {
   this->Start(kManyBackends);
@@ -191,8 +188,7 @@
   BOOST_TEST(this->CountItemsRead() < before + 8 * core::kPlacementLooks);
 }
 
-// One that served 900 in turn gave each a page now and then, and nobody else
-// had a whole view for ten seconds.
+// Guards against serving so many peers at once that none of them finishes.
 BOOST_AUTO_TEST_CASE(concurrent_recipients_are_limited_and_others_are_referred)
 {
   this->Start(kManyBackends);
@@ -208,7 +204,7 @@
     sent += page.revision != 0 ? 1 : 0;
   }
   BOOST_TEST(sent == 4U);
-  // Who is done makes room, and is told of to those who get nothing.
+  // A peer that finished frees its slot and is named in refusals.
   sender.Fill.OnRequest({ this->At(10).Address, "servers/9999", 0 }, clock);
   sender.Fill.TakeMessages();
   sender.Fill.OnRequest({ this->At(20).Address, "", 0 }, clock);
@@ -222,7 +218,7 @@
                         this->At(10).Address) != refusal.whole.end()));
 }
 
-// Pages between zones cost; 300 daemons filled each from anywhere.
+// Guards against unnecessary page traffic between zones.
 BOOST_AUTO_TEST_CASE(requester_is_mostly_referred_to_a_closer_peer)
 {
   this->Start(kManyBackends);
@@ -233,7 +229,7 @@
   std::size_t sent = 0;
   for (int attempt = 0; attempt < 100; ++attempt) {
     this->Now += 1s;
-    // A page for the near one, which is then known to be whole.
+    // The last page for the closer peer, which then has a full view.
     sender.Fill.OnRequest({ near, "servers/9999", 0 },
                           sender.Clock(this->Now));
     sender.Fill.TakeMessages();
@@ -245,7 +241,7 @@
                 std::find(page.whole.begin(), page.whole.end(), near) !=
                   page.whole.end()));
   }
-  // The near one may be dead: some are served all the same.
+  // Some requests are served anyway, as the closer peer may be gone.
   BOOST_TEST(sent > 5U);
   BOOST_TEST(sent < 50U);
 }
@@ -264,7 +260,7 @@
   BOOST_TEST(std::get<core::ViewPage>(messages[0].Message).revision == 0U);
 }
 
-// A giver whose last page was lost takes the daemon that asks again for whole.
+// A peer whose last page was lost may name the requester itself in a refusal.
 BOOST_AUTO_TEST_CASE(refusal_naming_only_the_requester_sends_no_request)
 {
   this->Start(kManyBackends);
--- a/tests/core/relay/view_difference_test.cc
+++ b/tests/core/relay/view_difference_test.cc
@@ -59,7 +59,8 @@
     std::holds_alternative<core::RemovedItem>(range->Changes.back().item));
 }
 
-// Who takes a part goes on elsewhere, where it was told before its revision.
+// The recipient of a part may continue with another daemon that sent these
+// removals before its current revision.
 BOOST_AUTO_TEST_CASE(removals_detected_by_a_listing_come_first)
 {
   for (std::uint64_t id = 1; id <= 3000; ++id) {
@@ -135,8 +136,7 @@
   BOOST_TEST(this->KeysSince(21).size() == 2U);
 }
 
-// 985 daemons that asked three seeds got 25 KB of routes each: versions were
-// nine seconds late again (cflc-quotes-fleet scale-2, one run of two).
+// Guards against sending the full route set to every daemon.
 BOOST_AUTO_TEST_CASE(versions_are_sent_as_deltas)
 {
   std::vector<std::pair<std::uint8_t, std::string>> services;
@@ -157,7 +157,7 @@
   BOOST_TEST(second.from == 9U);
   BOOST_TEST(second.dropped.size() == 1U);
   BOOST_TEST(this->Difference.Since(60, 1000)->Changes.size() == 1U);
-  // Who is older than what is remembered gets all.
+  // A view older than the stored deltas receives the full set.
   const auto all = this->Difference.Since(49, 1000);
   BOOST_REQUIRE(all->Changes.size() == 1U);
   BOOST_TEST(std::holds_alternative<core::RouteSet>(all->Changes[0].item));
@@ -188,7 +188,7 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-/// A fleet whose store forgets its history while much changes.
+/// A fleet whose store discards its history while many changes occur.
 struct LostHistoryFixture : RelayFixture
 {
   LostHistoryFixture()
@@ -210,7 +210,7 @@
     return items;
   }
 
-  /// No watch is told of the changes, nor can one be from before them.
+  /// No watch delivers these changes, and none can start from before them.
   void ApplyUnseenChanges(core::ConfigurationVersion version)
   {
     for (auto& node : this->Nodes) {
@@ -237,9 +237,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(LostHistoryTest, LostHistoryFixture)
 
-// 985 daemons listed 10,000 back ends each, 24,000 reads; 67 requests were
-// still handled by a version that was nine seconds old (cflc-quotes-fleet
-// scale-2: CONFIG broken).
+// Guards against every daemon listing the store after the history is lost.
 BOOST_AUTO_TEST_CASE(few_daemons_list_again_after_lost_history)
 {
   const std::uint64_t before = this->CountItemsRead();
@@ -254,9 +252,7 @@
   }
 }
 
-// Who follows a follower hears no seed while all is well, and listed at once:
-// its listing kept the store busy, and refused what peers told (985 daemons,
-// scale-2, one run of two).
+// Indirect followers do not hear from seeds and must not list immediately.
 BOOST_AUTO_TEST_CASE(followers_of_followers_wait_for_peers)
 {
   this->GrowTo(150);
@@ -271,7 +267,7 @@
   BOOST_TEST(this->CountItemsRead() - before < 12U * 3000U);
 }
 
-// A listing that has begun ends where a peer tells what is missing.
+// A listing in progress ends if a peer sends the missing changes.
 BOOST_AUTO_TEST_CASE(listing_in_progress_applies_changes_of_a_peer)
 {
   Node& node = this->At(20);
@@ -287,16 +283,15 @@
   this->Run(1s);
   BOOST_TEST(node.Routes.version() == 9U);
   BOOST_TEST(!node.Reader.isListing());
-  // The page arrives late, and begins no listing anew.
+  // The late page does not restart the listing.
   node.Reader.onReply(this->Store.answer(*page), node.Clock(this->Now));
   BOOST_TEST(!node.Reader.isListing());
   this->Run(2s);
   BOOST_TEST(node.Backends.activeCount() == 3001U);
 }
 
-// Daemons that all had found the history gone confirmed each other's old
-// views, and none went on with its listing: versions reached 20 of 111 daemons
-// in nine seconds (scale-2, a trial).
+// Guards against daemons confirming each other's stale views instead of
+// listing.
 BOOST_AUTO_TEST_CASE(older_confirmation_does_not_end_a_listing)
 {
   Node& node = this->At(20);
@@ -324,9 +319,7 @@
   BOOST_TEST((this->TimeUntilApplied(9) < 3s));
 }
 
-// Where 10,000 registrations lapsed and came back the reader took 500 changes
-// a second, and a version that was written after them was in force nowhere
-// eleven seconds later (all_lapse_under_load on cflc-quotes-fleet).
+// Guards against a large backlog of changes delaying a new version.
 BOOST_AUTO_TEST_CASE(many_changes_do_not_delay_a_version)
 {
   this->Store.watchSize = core::kItemsOfStorePage;
@@ -342,7 +335,7 @@
   }
 }
 
-// Each of the others would have read it from the store.
+// Guards against all followers reading the version from the store.
 BOOST_AUTO_TEST_CASE(version_with_many_routes_is_propagated)
 {
   this->Run(2s);
--- a/tests/core/relay/view_relay_test.cc
+++ b/tests/core/relay/view_relay_test.cc
@@ -1,4 +1,4 @@
-/// Who reads the store, whom the others follow, and how old a view may get.
+/// Election of readers, selection of upstreams and limits of view age.
 #include "core/relay/view_relay.h"
 
 #include "core/constants.h"
@@ -9,13 +9,12 @@
 
 using core::UpdateOutcome;
 
-/// Changes must be in force within 3 s on every daemon that is in touch.
+/// Changes must be in effect within this time on every reachable daemon.
 constexpr core::Duration kPropagationLimit = 3s;
 
 BOOST_FIXTURE_TEST_SUITE(ViewRelayTest, RelayFixture)
 
-// Every daemon watched every change: 3,581 calls on a calm day with 74
-// daemons.
+// Guards against every daemon watching the store.
 BOOST_AUTO_TEST_CASE(one_seed_reads_and_all_others_follow)
 {
   this->Run(5s);
@@ -66,9 +65,7 @@
   BOOST_TEST(this->CountReading() == 1U);
 }
 
-// The reader paused for 0.8 s after a burst and then watched for 0.9 s: 294
-// followers had no sign of life for too long and looked for another daemon
-// (cflc-quotes-large trouble-3, four times).
+// Guards against a gap in keepalives when the reader pauses after a burst.
 BOOST_AUTO_TEST_CASE(followers_keep_their_upstream_after_a_burst)
 {
   this->Run(10s);
@@ -88,7 +85,7 @@
   }
 }
 
-// The store may serve the operator and most daemons and say nothing to some.
+// The store may serve most daemons but not respond to some.
 BOOST_AUTO_TEST_CASE(reader_with_an_unresponsive_store_is_replaced)
 {
   this->Run(5s);
@@ -112,7 +109,7 @@
   BOOST_TEST(!this->At(8).Relay.IsReading());
 }
 
-// What waited in a frozen daemon's socket looks new and is old.
+// Messages queued for a frozen daemon look new but are outdated.
 BOOST_AUTO_TEST_CASE(delayed_updates_do_not_refresh_a_view)
 {
   this->Run(5s);
@@ -191,7 +188,6 @@
   }
 }
 
-// Other deployments may want changes in force sooner.
 BOOST_AUTO_TEST_CASE(shorter_bound_shortens_all_limits)
 {
   for (auto& node : this->Nodes) {
