--- a/tests/core/relay/store_era_stateful_test.cc
+++ b/tests/core/relay/store_era_stateful_test.cc
@@ -99,8 +99,8 @@
   }
 
   /// Operators and backends rewrite what the restored copy lacks, and items of
-  /// stopped backends expire.  Unchanged items are not rewritten, as heartbeats
-  /// without changes raise no revision.
+  /// stopped backends expire.  Unchanged items are not rewritten, as
+  /// heartbeats without changes raise no revision.
   void RewriteLostItems()
   {
     const core::StoreChange* routes = this->Store.find("op/config");
