--- a/src/core/admission/opening_counts.cc
+++ b/src/core/admission/opening_counts.cc
@@ -9,147 +9,153 @@
 namespace cobaltgauge::core {
 namespace {
 
-std::int64_t NumberOf(Time now)
+std::int64_t IntervalNumberAt(Time now)
 {
-  return now / kAdmissionStep;
+  return now / kAdmissionInterval;
 }
 
 } // namespace
 
-double OpeningFigures::CountWanted() const
+double OpeningStatistics::CountOffered() const
 {
-  double wanted = 0;
-  for (const auto& [rank, count] : this->Wanted) {
-    wanted += count;
+  double offered = 0;
+  for (const auto& [priority, count] : this->Offered) {
+    offered += count;
   }
-  return wanted;
+  return offered;
 }
 
-double OpeningFigures::GetRejectedShare() const
+double OpeningStatistics::GetRejectedShare() const
 {
   const double results = std::max(this->CountResults(), 1U);
   return this->Rejected / results;
 }
 
-bool RejectionSpread::ShowsFull() const
+bool RejectionDistribution::IndicatesOverload() const
 {
-  return this->Expected >= kTellingFull &&
-    this->OfServing >= kFullPart * this->Expected;
+  return this->ExpectedByServing >= kMinExpectedForOverload &&
+    this->ByServing >= kOverloadRatio * this->ExpectedByServing;
 }
 
-bool RejectionSpread::ShowsSick() const
+bool RejectionDistribution::IndicatesFaults() const
 {
-  return this->Expected >= kTellingSick &&
-    this->OfServing < kSickPart * this->Expected;
+  return this->ExpectedByServing >= kMinExpectedForFaults &&
+    this->ByServing < kFaultRatio * this->ExpectedByServing;
 }
 
-void OpeningCounts::OnWanted(std::uint32_t rank, double part, Time now)
+void OpeningCounts::OnOffered(std::uint32_t priority, double weight, Time now)
 {
-  this->GetStep(now).Wanted[rank] += part;
+  this->GetInterval(now).Offered[priority] += weight;
 }
 
-void OpeningCounts::OnLetIn(double part, Time now)
+void OpeningCounts::OnAdmitted(double weight, Time now)
 {
-  this->GetStep(now).LetIn += part;
+  this->GetInterval(now).Admitted += weight;
 }
 
 void OpeningCounts::OnResult(const OpeningResult& result, Time now)
 {
   if (result.Outcome != OpeningOutcome::kSilent) {
-    ++this->AllResults;
+    ++this->TotalResults;
     const bool rejected = result.Outcome != OpeningOutcome::kServed;
-    this->GetStep(now).Results.push_back({ result.Backend, rejected });
+    this->GetInterval(now).Results.push_back({ result.Backend, rejected });
   }
 }
 
 void OpeningCounts::Expire(Time now)
 {
-  const std::int64_t oldest =
-    NumberOf(now) - static_cast<std::int64_t>(kAdmissionSteps) + 1;
-  while (!this->Steps.empty() && this->Steps.front().Number < oldest) {
-    this->Steps.pop_front();
+  const std::int64_t oldest = IntervalNumberAt(now) -
+    static_cast<std::int64_t>(kAdmissionWindowIntervals) + 1;
+  while (!this->Intervals.empty() && this->Intervals.front().Number < oldest) {
+    this->Intervals.pop_front();
   }
 }
 
-OpeningFigures OpeningCounts::GetFigures(std::size_t fewestSteps,
-                                         std::uint32_t enoughResults,
-                                         Time now) const
+OpeningStatistics OpeningCounts::GetStatistics(std::size_t minIntervals,
+                                               std::uint32_t targetResults,
+                                               Time now) const
 {
-  OpeningFigures figures;
-  std::int64_t first = NumberOf(now);
-  for (auto step = this->Steps.rbegin(); step != this->Steps.rend(); ++step) {
-    const bool isRecent =
-      NumberOf(now) - step->Number < static_cast<std::int64_t>(fewestSteps);
-    if (!isRecent && figures.CountResults() >= enoughResults) {
+  OpeningStatistics statistics;
+  std::int64_t firstInterval = IntervalNumberAt(now);
+  for (auto interval = this->Intervals.rbegin();
+       interval != this->Intervals.rend();
+       ++interval) {
+    const bool isRecent = IntervalNumberAt(now) - interval->Number <
+      static_cast<std::int64_t>(minIntervals);
+    if (!isRecent && statistics.CountResults() >= targetResults) {
       break;
     }
-    first = step->Number;
-    for (const auto& [rank, count] : step->Wanted) {
-      figures.Wanted[rank] += count;
+    firstInterval = interval->Number;
+    for (const auto& [priority, count] : interval->Offered) {
+      statistics.Offered[priority] += count;
     }
-    for (const Result& result : step->Results) {
-      ++(result.Rejected ? figures.Rejected : figures.Served);
+    for (const Result& result : interval->Results) {
+      ++(result.Rejected ? statistics.Rejected : statistics.Served);
     }
   }
-  double letIn = 0;
+  double admitted = 0;
   double results = 0;
-  for (const Step& step : this->Steps) {
-    letIn += step.LetIn;
-    results += static_cast<double>(step.Results.size());
+  for (const Interval& interval : this->Intervals) {
+    admitted += interval.Admitted;
+    results += static_cast<double>(interval.Results.size());
   }
-  figures.Unheard =
-    std::clamp(letIn / std::max(results, 1.0), 1.0, kMostUnheard);
-  const Duration span = now - first * kAdmissionStep;
-  figures.Seconds = std::chrono::duration<double>(span).count();
-  return figures;
+  statistics.AdmittedPerResult =
+    std::clamp(admitted / std::max(results, 1.0), 1.0, kMaxAdmittedPerResult);
+  const Duration span = now - firstInterval * kAdmissionInterval;
+  statistics.Seconds = std::chrono::duration<double>(span).count();
+  return statistics;
 }
 
-RejectionSpread OpeningCounts::GetSpread() const
+RejectionDistribution OpeningCounts::GetRejectionDistribution() const
 {
-  struct Tally
+  struct BackendHistory
   {
     std::uint32_t Rejected = 0;
-    std::int64_t FirstRejected = 0;
-    std::uint32_t Later = 0; ///< Results that came well after that.
-    bool Serves = false;     ///< One of them.
+    std::int64_t FirstRejectedInterval = 0;
+    std::uint32_t LaterResults = 0; ///< Results that came well after that.
+    bool ServedLater = false;       ///< One of them.
   };
-  std::unordered_map<BackendId, Tally> tallies;
+  std::unordered_map<BackendId, BackendHistory> histories;
   std::uint32_t results = 0;
-  RejectionSpread spread;
-  for (const Step& step : this->Steps) {
-    for (const Result& result : step.Results) {
-      Tally& tally = tallies[result.Backend];
+  RejectionDistribution distribution;
+  for (const Interval& interval : this->Intervals) {
+    for (const Result& result : interval.Results) {
+      BackendHistory& history = histories[result.Backend];
       ++results;
       // What it took before its end may still be answered.
-      const bool isLater = tally.Rejected != 0 &&
-        step.Number - tally.FirstRejected >= kStepsOfQueue;
-      tally.Later += isLater ? 1U : 0U;
-      tally.Serves = tally.Serves || (isLater && !result.Rejected);
+      const bool isLater = history.Rejected != 0 &&
+        interval.Number - history.FirstRejectedInterval >=
+          kQueueDrainIntervals;
+      history.LaterResults += isLater ? 1U : 0U;
+      history.ServedLater =
+        history.ServedLater || (isLater && !result.Rejected);
       if (result.Rejected) {
-        tally.FirstRejected =
-          tally.Rejected == 0 ? step.Number : tally.FirstRejected;
-        ++tally.Rejected;
-        ++spread.Rejections;
+        history.FirstRejectedInterval = history.Rejected == 0
+          ? interval.Number
+          : history.FirstRejectedInterval;
+        ++history.Rejected;
+        ++distribution.Rejections;
       }
     }
   }
-  const double rejected = spread.Rejections / std::max<double>(results, 1);
-  for (const auto& [backend, tally] : tallies) {
-    spread.OfServing += tally.Serves ? tally.Rejected : 0;
-    spread.Expected +=
-      tally.Rejected * (1.0 - std::pow(rejected, tally.Later));
+  const double rejectedShare =
+    distribution.Rejections / std::max<double>(results, 1);
+  for (const auto& [backend, history] : histories) {
+    distribution.ByServing += history.ServedLater ? history.Rejected : 0;
+    distribution.ExpectedByServing +=
+      history.Rejected * (1.0 - std::pow(rejectedShare, history.LaterResults));
   }
-  return spread;
+  return distribution;
 }
 
-OpeningCounts::Step& OpeningCounts::GetStep(Time now)
+OpeningCounts::Interval& OpeningCounts::GetInterval(Time now)
 {
-  const std::int64_t number = NumberOf(now);
-  if (this->Steps.empty() || this->Steps.back().Number < number) {
-    this->Steps.push_back({ number, {}, 0, {} });
+  const std::int64_t number = IntervalNumberAt(now);
+  if (this->Intervals.empty() || this->Intervals.back().Number < number) {
+    this->Intervals.push_back({ number, {}, 0, {} });
     this->Expire(now);
   }
-  return this->Steps.back();
+  return this->Intervals.back();
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/domains/backend_group.h
+++ b/src/core/domains/backend_group.h
@@ -20,7 +20,7 @@
 
 /// A daemon's own probes found these groups silent.  Whoever hears it probes
 /// them as well, and believes its own probes only.
-struct GroupNotice
+struct UnreachableGroupsNotice
 {
   std::vector<BackendGroup> Groups;
 };
--- a/src/core/domains/serving_readiness.cc
+++ b/src/core/domains/serving_readiness.cc
@@ -10,9 +10,9 @@
 const char* ToString(ServingReason reason)
 {
   switch (reason) {
-    case ServingReason::kNothingKnown:
+    case ServingReason::kInitial:
       return "nothing_known";
-    case ServingReason::kUnreached:
+    case ServingReason::kUnreachable:
       return "unreached";
     case ServingReason::kConnected:
       return "connected";
@@ -30,7 +30,7 @@
                                  ServiceId service,
                                  Time now)
 {
-  this->Services[service] = now;
+  this->RecentServices[service] = now;
   if (this->Unanswered.size() < kMostUnansweredKept) {
     this->Unanswered.try_emplace(backend, now);
   }
@@ -38,8 +38,8 @@
 
 void ServingReadiness::OnAnswer(Time now)
 {
-  this->Change(true, ServingReason::kAnswered, now);
-  this->Forget();
+  this->SetServing(true, ServingReason::kAnswered, now);
+  this->ClearEvidence();
 }
 
 void ServingReadiness::OnTick(Time now)
@@ -47,20 +47,20 @@
   const Duration gap = now - std::exchange(this->LastTickAt, now);
   // Answers and connections may wait behind timers that have run out.
   if (gap > kServingStall) {
-    this->Forget();
+    this->ClearEvidence();
   }
-  std::erase_if(this->Services, [this, now](const auto& item) {
+  std::erase_if(this->RecentServices, [this, now](const auto& item) {
     return this->Serving && now - item.second > kServiceSeenLately;
   });
 }
 
 void ServingReadiness::OnResume()
 {
-  this->Change(true, ServingReason::kResumed, this->LastTickAt);
-  this->Forget();
+  this->SetServing(true, ServingReason::kResumed, this->LastTickAt);
+  this->ClearEvidence();
 }
 
-std::size_t ServingReadiness::CountSilent(Time now) const
+std::size_t ServingReadiness::CountUnanswered(Time now) const
 {
   return static_cast<std::size_t>(std::count_if(
     this->Unanswered.begin(), this->Unanswered.end(), [now](const auto& item) {
@@ -68,83 +68,84 @@
     }));
 }
 
-bool ServingReadiness::IsAsking(Time now) const
+bool ServingReadiness::IsProbing(Time now) const
 {
-  return !this->Serving || this->CountSilent(now) != 0;
+  return !this->Serving || this->CountUnanswered(now) != 0;
 }
 
 std::vector<ServiceId> ServingReadiness::TakeProbes(Time now)
 {
   std::vector<ServiceId> due;
-  if (!this->Required || now < this->NextProbeAt || this->Services.empty() ||
-      !this->IsAsking(now)) {
+  if (!this->Required || now < this->NextProbeAt ||
+      this->RecentServices.empty() || !this->IsProbing(now)) {
     return due;
   }
   this->NextProbeAt = now + kServingProbeEvery;
-  const std::size_t wanted = this->Serving ? kProbesToLeave : 1;
-  auto next = this->Services.upper_bound(this->LastAsked);
-  while (due.size() < wanted) {
-    next = next == this->Services.end() ? this->Services.begin() : next;
+  const std::size_t probeCount = this->Serving ? kProbesToLeave : 1;
+  auto next = this->RecentServices.upper_bound(this->LastProbedService);
+  while (due.size() < probeCount) {
+    next =
+      next == this->RecentServices.end() ? this->RecentServices.begin() : next;
     due.push_back(next->first);
     ++next;
   }
-  this->LastAsked = due.back();
+  this->LastProbedService = due.back();
   this->Counters.Probes += due.size();
   return due;
 }
 
 void ServingReadiness::OnNoBackends(ServiceId service, Time now)
 {
-  this->Services.erase(service);
-  if (this->Services.empty()) {
-    this->Change(true, ServingReason::kNoBackends, now);
-    this->Forget();
+  this->RecentServices.erase(service);
+  if (this->RecentServices.empty()) {
+    this->SetServing(true, ServingReason::kNoBackends, now);
+    this->ClearEvidence();
   }
 }
 
 void ServingReadiness::OnProbe(BackendId backend, ProbeResult result, Time now)
 {
   if (result == ProbeResult::kConnected) {
-    this->Change(true, ServingReason::kConnected, now);
-    this->Forget();
+    this->SetServing(true, ServingReason::kConnected, now);
+    this->ClearEvidence();
   } else if (result != ProbeResult::kRefused &&
              this->TimedOut.size() < kMostUnansweredKept) {
     this->TimedOut.insert(backend);
-    this->Judge(now);
+    this->UpdateServing(now);
   }
 }
 
-void ServingReadiness::Judge(Time now)
+void ServingReadiness::UpdateServing(Time now)
 {
-  const bool stays =
-    this->ReturnedAt != Time{} && now - this->ReturnedAt < kLeastServing;
-  if (!stays && this->CountSilent(now) >= kSilentToLeave &&
+  const bool isHeld =
+    this->ResumedAt != Time{} && now - this->ResumedAt < kLeastServing;
+  if (!isHeld && this->CountUnanswered(now) >= kSilentToLeave &&
       this->TimedOut.size() >= kProbesToLeave) {
-    this->Change(false, ServingReason::kUnreached, now);
+    this->SetServing(false, ServingReason::kUnreachable, now);
   }
 }
 
-void ServingReadiness::Change(bool serving, ServingReason reason, Time now)
+void ServingReadiness::SetServing(bool serving, ServingReason reason, Time now)
 {
   if (serving == this->Serving) {
     return;
   }
-  Time first = now;
+  Time firstUnanswered = now;
   for (const auto& [backend, since] : this->Unanswered) {
-    first = std::min(first, since);
+    firstUnanswered = std::min(firstUnanswered, since);
   }
   this->Serving = serving;
   this->Reason = reason;
-  this->ReturnedAt = serving ? now : this->ReturnedAt;
-  ++(serving ? this->Counters.Returned : this->Counters.Left);
+  this->ResumedAt = serving ? now : this->ResumedAt;
+  ++(serving ? this->Counters.ResumedServing : this->Counters.StoppedServing);
   this->Changes.push_back({ serving,
                             reason,
-                            this->CountSilent(now),
+                            this->CountUnanswered(now),
                             this->TimedOut.size(),
-                            now - first });
+                            now - firstUnanswered });
 }
 
-void ServingReadiness::Forget()
+void ServingReadiness::ClearEvidence()
 {
   this->Unanswered.clear();
   this->TimedOut.clear();
--- a/src/core/domains/serving_readiness.h
+++ b/src/core/domains/serving_readiness.h
@@ -17,12 +17,12 @@
 /// Why a daemon came to serve, or not to.
 enum class ServingReason : std::uint8_t
 {
-  kNothingKnown, ///< No sign against it.
-  kUnreached,    ///< Several back ends silent, probes timed out, no answer.
-  kConnected,    ///< A probe connected.
-  kAnswered,     ///< A back end answered a caller.
-  kNoBackends,   ///< Nothing is left that could be asked.
-  kResumed,      ///< The process was suspended; what it saw means nothing.
+  kInitial,     ///< No sign against it.
+  kUnreachable, ///< Several back ends silent, probes timed out, no answer.
+  kConnected,   ///< A probe connected.
+  kAnswered,    ///< A back end answered a caller.
+  kNoBackends,  ///< Nothing is left that could be asked.
+  kResumed,     ///< The process was suspended; what it saw means nothing.
 };
 
 const char* ToString(ServingReason reason);
@@ -31,17 +31,18 @@
 struct ServingChange
 {
   bool Serving = true;
-  ServingReason Reason = ServingReason::kNothingKnown;
-  std::size_t Silent = 0;   ///< Back ends with openings without an answer.
+  ServingReason Reason = ServingReason::kInitial;
+  std::size_t UnansweredBackends =
+    0;                      ///< Back ends with openings without an answer.
   std::size_t TimedOut = 0; ///< Back ends whose probes timed out.
-  Duration Since{};         ///< From the first of the silent openings.
+  Duration UnansweredFor{}; ///< From the first of the silent openings.
 };
 
 /// Counters of a ServingReadiness; see docs/METRICS.md.
 struct ServingCounters
 {
-  std::uint64_t Left = 0;
-  std::uint64_t Returned = 0;
+  std::uint64_t StoppedServing = 0;
+  std::uint64_t ResumedServing = 0;
   std::uint64_t Probes = 0;
 };
 
@@ -93,21 +94,21 @@
 
 private:
   /// Tell whether something has been silent for long, and nothing answered.
-  bool IsAsking(Time now) const;
-  std::size_t CountSilent(Time now) const;
-  void Judge(Time now);
-  void Change(bool serving, ServingReason reason, Time now);
-  void Forget();
+  bool IsProbing(Time now) const;
+  std::size_t CountUnanswered(Time now) const;
+  void UpdateServing(Time now);
+  void SetServing(bool serving, ServingReason reason, Time now);
+  void ClearEvidence();
 
   bool Required = true;
   bool Serving = true;
-  ServingReason Reason = ServingReason::kNothingKnown;
+  ServingReason Reason = ServingReason::kInitial;
   std::map<BackendId, Time> Unanswered; ///< First opening since any answer.
-  std::set<BackendId> TimedOut;         ///< Since any answer.
-  std::map<ServiceId, Time> Services;   ///< Last opening here.
-  ServiceId LastAsked{ 0 };
+  std::set<BackendId> TimedOut;         ///< UnansweredFor any answer.
+  std::map<ServiceId, Time> RecentServices; ///< Last opening here.
+  ServiceId LastProbedService{ 0 };
   Time NextProbeAt{};
-  Time ReturnedAt{};
+  Time ResumedAt{};
   Time LastTickAt{};
   std::vector<ServingChange> Changes;
   ServingCounters Counters;
--- a/src/core/domains/silent_groups.h
+++ b/src/core/domains/unreachable_groups.h
@@ -16,22 +16,22 @@
 namespace cobaltgauge::core {
 
 /// Probes that are wanted of a group.
-struct GroupProbes
+struct GroupProbeRequest
 {
   BackendGroup Group;
   std::size_t Count = 0;
 };
 
-/// Counters of a SilentGroups; see docs/METRICS.md.
-struct SilentGroupCounters
+/// Counters of a UnreachableGroups; see docs/METRICS.md.
+struct UnreachableGroupCounters
 {
-  std::uint64_t Found = 0;
-  std::uint64_t Ended = 0; ///< By a connection or an answer.
+  std::uint64_t Detected = 0;
+  std::uint64_t Recovered = 0; ///< By a connection or an answer.
   std::uint64_t Probes = 0;
   std::uint64_t Notices = 0; ///< Of other daemons, that were followed.
 };
 
-/** \class SilentGroups
+/** \class UnreachableGroups
  * \brief Put a group last of which several members take no connection.
  *
  * One back end that left a caller without an answer and took no connection
@@ -41,7 +41,7 @@
  * connection of one of them ends it for all.  A back end that is full, slow or
  * cold takes connections.  This orders candidates and does nothing else.
  */
-class SilentGroups : public Demotion
+class UnreachableGroups : public Demotion
 {
 public:
   /// Say whether groups are looked for at all.
@@ -53,7 +53,8 @@
   void OnAnswer(BackendId backend, const BackendGroup& group, Time now);
 
   /// A probe of a member ended.
-  /// \return true where the group's members are to be named by Mark().
+  /// \return true where the group's members are to be named by
+  /// MarkUnreachable().
   bool OnProbe(BackendId backend,
                const BackendGroup& group,
                ProbeResult result,
@@ -64,12 +65,12 @@
   void OnNotice(const BackendGroup& group, Time now);
 
   /// Put the members of a group last.
-  void Mark(const BackendGroup& group,
-            const std::vector<BackendId>& members,
-            Time now);
+  void MarkUnreachable(const BackendGroup& group,
+                       const std::vector<BackendId>& members,
+                       Time now);
 
   /// Get groups of which members, drawn, are to be probed now.
-  std::vector<GroupProbes> TakeProbes(Time now);
+  std::vector<GroupProbeRequest> TakeProbes(Time now);
 
   /// Call after the process was suspended: probes may have run out unread.
   void OnResume();
@@ -80,28 +81,32 @@
   /// Tell whether anything is known that an answer would change; cheap.
   bool IsEmpty() const { return this->Groups.empty(); }
 
-  std::size_t CountSilent(Time now) const;
+  std::size_t CountUnreachable(Time now) const;
 
   /// Take the groups found since the last call, for logs.
-  std::vector<BackendGroup> TakeFound();
+  std::vector<BackendGroup> TakeDetected();
 
-  const SilentGroupCounters& GetCounters() const { return this->Counters; }
+  const UnreachableGroupCounters& GetCounters() const
+  {
+    return this->Counters;
+  }
 
 private:
-  struct Signs
+  struct GroupState
   {
-    std::set<BackendId> Unconnected; ///< Since any answer or connection.
-    std::set<BackendId> Members;     ///< That come last; none: no verdict.
-    Time Until{};                    ///< End of the verdict, or of the signs.
+    std::set<BackendId> UnreachedMembers; ///< Since any answer or connection.
+    std::set<BackendId>
+      DeprioritizedMembers; ///< That come last; none: no verdict.
+    Time ExpiresAt{};       ///< End of the verdict, or of the state.
     Time NextProbeAt{};
-    std::size_t Wanted = 0; ///< Probes to be made at once.
+    std::size_t PendingProbes = 0; ///< Probes to be made at once.
   };
 
   bool Enabled = true;
-  std::map<BackendGroup, Signs> Groups;
-  std::map<BackendGroup, Time> NoticedAt;
-  std::vector<BackendGroup> Found;
-  SilentGroupCounters Counters;
+  std::map<BackendGroup, GroupState> Groups;
+  std::map<BackendGroup, Time> LastNoticeAt;
+  std::vector<BackendGroup> Detected;
+  UnreachableGroupCounters Counters;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/token_domains.cc
+++ b/src/core/token_domains.cc
@@ -70,7 +70,7 @@
   if (silentGroups_.IsEmpty()) {
     return probes;
   }
-  for (const GroupProbes& due : silentGroups_.TakeProbes(now)) {
+  for (const GroupProbeRequest& due : silentGroups_.TakeProbes(now)) {
     std::vector<BackendId> members = membersOf(due.Group);
     for (std::size_t count = 0; count < due.Count && !members.empty(); ++count) {
       std::swap(members[random_.below(members.size())], members.back());
@@ -81,7 +81,7 @@
   return probes;
 }
 
-void TokenSteering::onGroupNotice(const GroupNotice& notice, Time now) {
+void TokenSteering::onGroupNotice(const UnreachableGroupsNotice& notice, Time now) {
   const std::size_t count = std::min(notice.Groups.size(), kMostGroupsNoticed);
   for (std::size_t index = 0; index < count; ++index) {
     if (!membersOf(notice.Groups[index]).empty()) {
@@ -97,7 +97,7 @@
   }
   const BackendGroup group{candidate->service, candidate->zone};
   if (silentGroups_.OnProbe(backend, group, result, now)) {
-    silentGroups_.Mark(group, membersOf(group), now);
+    silentGroups_.MarkUnreachable(group, membersOf(group), now);
   }
 }
 
--- a/src/core/token_steering.h
+++ b/src/core/token_steering.h
@@ -15,11 +15,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/admission/rank_admission.h"
+#include "core/admission/priority_admission.h"
 #include "core/backend_health.h"
 #include "core/backend_registry.h"
 #include "core/domains/serving_readiness.h"
-#include "core/domains/silent_groups.h"
+#include "core/domains/unreachable_groups.h"
 #include "core/flow_steering.h"
 #include "core/load/load_meter.h"
 #include "core/load/opening_outcomes.h"
@@ -104,7 +104,7 @@
   void onQueueDrained() { openingsAreStale_ = false; }
 
   /// Says how many daemons there are; too high a number is the safe side.
-  void setFleet(std::uint32_t daemons) { warmUps_.SetFleet(daemons); }
+  void setFleet(std::uint32_t daemons) { warmUps_.SetDaemonCount(daemons); }
 
   /// @return back ends whose address should be connected to; answer each by onProbe().
   std::vector<BackendAddress> takeProbes(Time now);
@@ -118,9 +118,9 @@
   std::vector<BackendAddress> takeGroupProbes(Time now);
   void onGroupProbe(BackendId backend, ProbeResult result, Time now);
   /// Takes what another daemon found of groups.
-  void onGroupNotice(const GroupNotice& notice, Time now);
-  SilentGroups& silentGroups() { return silentGroups_; }
-  const SilentGroups& silentGroups() const { return silentGroups_; }
+  void onGroupNotice(const UnreachableGroupsNotice& notice, Time now);
+  UnreachableGroups& silentGroups() { return silentGroups_; }
+  const UnreachableGroups& silentGroups() const { return silentGroups_; }
   ServingReadiness& serving() { return serving_; }
   const ServingReadiness& serving() const { return serving_; }
   /// @return addresses to be connected to beside a back end that is probed.
@@ -139,7 +139,7 @@
 
   /// Asked which openings are refused while back ends are full. Outlives the steering; null for
   /// none.
-  void setAdmission(RankAdmission* admission) { admission_ = admission; }
+  void setAdmission(PriorityAdmission* admission) { admission_ = admission; }
 
   /// Told of requests, openings and their ends. Outlives the steering.
   void setLoadMeter(LoadMeter* load) {
@@ -217,7 +217,7 @@
   BackendHealth health_;
   ServingReadiness serving_;
   bool wasServing_ = true;
-  SilentGroups silentGroups_;
+  UnreachableGroups silentGroups_;
   OpeningPacer pacer_;
   WarmUpBudget warmUps_;
   std::unordered_map<Endpoint, Time, EndpointHash> emptySince_;  ///< Routes without back ends.
@@ -225,7 +225,7 @@
   VerdictCounters counters_;
   OpeningDecision decision_;
   OutlierDetector* outliers_ = nullptr;
-  RankAdmission* admission_ = nullptr;
+  PriorityAdmission* admission_ = nullptr;
   AnswerDeadlines deadlines_;
   OpeningOutcomes outcomes_;
   LoadMeter* load_ = nullptr;
--- a/src/core/view_updater.cc
+++ b/src/core/view_updater.cc
@@ -66,7 +66,7 @@
 
 bool ViewUpdater::take(const StoreChange& change, const RemovedItem&, Time now) {
   // Routes are never removed as a whole: a version replaces them.
-  if (backends_.evacuations().Knows(change.key)) {
+  if (backends_.evacuations().HasSeen(change.key)) {
     const bool wasEvacuated = isEvacuated(change.key);
     if (backends_.removeEvacuation(change.key, change.revision)) {
       record(change);
--- a/src/core/warmup/warm_up_budget.cc
+++ b/src/core/warmup/warm_up_budget.cc
@@ -18,24 +18,24 @@
 
 std::uint32_t WarmUpBudget::GetLimit(BackendId backend, double perSecond) const
 {
-  const std::uint32_t daemons = std::max(this->Fleet, 1U);
+  const std::uint32_t daemons = std::max(this->DaemonCount, 1U);
   const double share = perSecond * kWarmUpShare / daemons;
-  const double whole = std::floor(share);
-  const std::uint64_t draw =
-    mixHash(this->Daemon, static_cast<std::uint64_t>(backend));
-  const bool isDrawn = ToFraction(draw) < share - whole;
-  return static_cast<std::uint32_t>(whole) + (isDrawn ? 1 : 0);
+  const double wholeShare = std::floor(share);
+  const std::uint64_t hash =
+    mixHash(this->DaemonId, static_cast<std::uint64_t>(backend));
+  const bool roundsUp = ToFraction(hash) < share - wholeShare;
+  return static_cast<std::uint32_t>(wholeShare) + (roundsUp ? 1 : 0);
 }
 
 bool WarmUpBudget::MayOpen(BackendId backend, double perSecond, Time now) const
 {
   const auto openings = this->Openings.find(backend);
-  const auto counted = openings == this->Openings.end()
+  const auto recentOpenings = openings == this->Openings.end()
     ? 0
     : std::count_if(openings->second.begin(),
                     openings->second.end(),
                     [now](Time at) { return now - at < kWarmUpWindow; });
-  return static_cast<std::uint32_t>(counted) <
+  return static_cast<std::uint32_t>(recentOpenings) <
     this->GetLimit(backend, perSecond);
 }
 
--- a/src/core/zones/zone_evacuations.cc
+++ b/src/core/zones/zone_evacuations.cc
@@ -6,57 +6,57 @@
                           const std::string& zone,
                           Revision revision)
 {
-  const auto known = this->Entries.find(key);
-  if (known != this->Entries.end() && known->second.At >= revision) {
+  const auto found = this->Entries.find(key);
+  if (found != this->Entries.end() && found->second.UpdatedAt >= revision) {
     return false;
   }
   this->Entries[key] = { zone, revision };
-  this->CollectZones();
+  this->RebuildZones();
   return true;
 }
 
 bool ZoneEvacuations::Remove(const std::string& key, Revision revision)
 {
-  const auto known = this->Entries.find(key);
-  if (known == this->Entries.end() || known->second.At >= revision) {
+  const auto found = this->Entries.find(key);
+  if (found == this->Entries.end() || found->second.UpdatedAt >= revision) {
     return false;
   }
-  End(known->second, revision);
-  this->CollectZones();
+  MarkEnded(found->second, revision);
+  this->RebuildZones();
   return true;
 }
 
-void ZoneEvacuations::End(Entry& entry, Revision at)
+void ZoneEvacuations::MarkEnded(Entry& entry, Revision at)
 {
-  entry.Lost = (entry.InForce || entry.Lost) && entry.At.era < at.era;
+  entry.Lost = (entry.Active || entry.Lost) && entry.UpdatedAt.era < at.era;
   entry.LostAt = Time{};
-  entry.InForce = false;
-  entry.At = at;
+  entry.Active = false;
+  entry.UpdatedAt = at;
 }
 
 std::vector<std::string> ZoneEvacuations::ExpireLost(Time now)
 {
-  std::vector<std::string> over;
+  std::vector<std::string> expired;
   for (auto& [key, entry] : this->Entries) {
     if (!entry.Lost) {
       continue;
     }
     entry.LostAt = entry.LostAt == Time{} ? now : entry.LostAt;
-    if (now - entry.LostAt >= kEvacuationKeptFor) {
+    if (now - entry.LostAt >= kLostEvacuationHoldTime) {
       entry.Lost = false;
-      over.push_back(key);
+      expired.push_back(key);
     }
   }
-  if (!over.empty()) {
-    this->CollectZones();
+  if (!expired.empty()) {
+    this->RebuildZones();
   }
-  return over;
+  return expired;
 }
 
 bool ZoneEvacuations::IsLost(const std::string& key) const
 {
-  const auto known = this->Entries.find(key);
-  return known != this->Entries.end() && known->second.Lost;
+  const auto found = this->Entries.find(key);
+  return found != this->Entries.end() && found->second.Lost;
 }
 
 std::vector<std::string> ZoneEvacuations::RetainOnly(
@@ -65,31 +65,31 @@
 {
   std::vector<std::string> ended;
   for (auto& [key, entry] : this->Entries) {
-    if (entry.InForce && entry.At <= listedAt && keys.count(key) == 0) {
+    if (entry.Active && entry.UpdatedAt <= listedAt && keys.count(key) == 0) {
       // The removal's own revision is unknown; it is the listing's at most.
-      End(entry, listedAt);
+      MarkEnded(entry, listedAt);
       ended.push_back(key);
     }
   }
-  this->CollectZones();
+  this->RebuildZones();
   return ended;
 }
 
 std::string ZoneEvacuations::GetZone(const std::string& key) const
 {
-  const auto known = this->Entries.find(key);
-  return known == this->Entries.end() ? std::string() : known->second.Zone;
+  const auto found = this->Entries.find(key);
+  return found == this->Entries.end() ? std::string() : found->second.Zone;
 }
 
-std::vector<StoreChange> ZoneEvacuations::GetChangesSince(Revision have) const
+std::vector<StoreChange> ZoneEvacuations::GetChangesSince(Revision since) const
 {
   std::vector<StoreChange> changes;
   for (const auto& [key, entry] : this->Entries) {
-    if (entry.At <= have) {
+    if (entry.UpdatedAt <= since) {
       continue;
     }
-    StoreChange change{ key, entry.At, RemovedItem{} };
-    if (entry.InForce) {
+    StoreChange change{ key, entry.UpdatedAt, RemovedItem{} };
+    if (entry.Active) {
       change.item = ZoneEvacuation{ entry.Zone };
     }
     changes.push_back(std::move(change));
@@ -101,18 +101,19 @@
 {
   std::vector<StoreChange> changes;
   for (const auto& [key, entry] : this->Entries) {
-    if (entry.InForce) {
-      changes.push_back({ key, entry.At, ZoneEvacuation{ entry.Zone } });
+    if (entry.Active) {
+      changes.push_back(
+        { key, entry.UpdatedAt, ZoneEvacuation{ entry.Zone } });
     }
   }
   return changes;
 }
 
-void ZoneEvacuations::CollectZones()
+void ZoneEvacuations::RebuildZones()
 {
   this->Zones.clear();
   for (const auto& [key, entry] : this->Entries) {
-    if (entry.InForce || entry.Lost) {
+    if (entry.Active || entry.Lost) {
       this->Zones.insert(entry.Zone);
     }
   }
--- a/src/core/zones/zone_evacuations.h
+++ b/src/core/zones/zone_evacuations.h
@@ -1,5 +1,5 @@
 /// @file
-/// Zones that operators have taken out: their back ends get no new flow until
+/// Zones that operators since taken out: their back ends get no new flow until
 /// the zone is taken back.  Open flows stay.
 #pragma once
 
@@ -15,7 +15,7 @@
 
 /// For so long a zone stays out whose evacuation was lost with the store's
 /// latest copy: operators write it again where it is still wanted.
-inline constexpr Duration kEvacuationKeptFor = std::chrono::seconds(3);
+inline constexpr Duration kLostEvacuationHoldTime = std::chrono::seconds(3);
 
 /** \class ZoneEvacuations
  * \brief The evacuations in force, by the key of their item in the store.
@@ -31,21 +31,21 @@
 {
 public:
   /// Take an evacuation.
-  /// \return whether it is newer than what was known of its key.
+  /// \return whether it is newer than what was found of its key.
   bool Put(const std::string& key, const std::string& zone, Revision revision);
 
   /// Note that an item was removed.
-  /// \return whether that is newer than what was known of its key.
+  /// \return whether that is newer than what was found of its key.
   bool Remove(const std::string& key, Revision revision);
 
   /// Take a whole listing: evacuations that are older than it and not part of
-  /// it have ended.
+  /// it since ended.
   /// \return the keys of those.
   std::vector<std::string> RetainOnly(const std::set<std::string>& keys,
                                       Revision listedAt);
 
-  /// End evacuations that were lost and have not been written again.
-  /// \return the keys of those that are over.
+  /// MarkEnded evacuations that were lost and since not been written again.
+  /// \return the keys of those that are expired.
   std::vector<std::string> ExpireLost(Time now);
 
   /// Tell whether the item was lost and its zone is still kept out.
@@ -57,7 +57,7 @@
   }
 
   /// Tell whether an item of this key was ever taken.
-  bool Knows(const std::string& key) const
+  bool HasSeen(const std::string& key) const
   {
     return this->Entries.count(key) != 0;
   }
@@ -68,8 +68,8 @@
   /// Get the zones that are out.
   const std::set<std::string>& GetZones() const { return this->Zones; }
 
-  /// Get what began or ended after `have`, as items and removals.
-  std::vector<StoreChange> GetChangesSince(Revision have) const;
+  /// Get what began or ended after `since`, as items and removals.
+  std::vector<StoreChange> GetChangesSince(Revision since) const;
 
   /// Get every evacuation in force, as an item.
   std::vector<StoreChange> GetContents() const;
@@ -78,16 +78,16 @@
   struct Entry
   {
     std::string Zone;
-    Revision At = 0;
-    bool InForce = true;
+    Revision UpdatedAt = 0;
+    bool Active = true;
     bool Lost = false; ///< Not in force, and its zone is out all the same.
     Time LostAt{};     ///< Zero until ExpireLost() has seen it.
   };
 
-  static void End(Entry& entry, Revision at);
+  static void MarkEnded(Entry& entry, Revision at);
 
   /// Collect the zones anew; several keys may name one.
-  void CollectZones();
+  void RebuildZones();
 
   std::map<std::string, Entry> Entries;
   std::set<std::string> Zones;
--- a/src/daemon/backend_probes.cc
+++ b/src/daemon/backend_probes.cc
@@ -43,9 +43,9 @@
   for (const core::BackendAddress& backend : steering_.takeGroupProbes(now)) {
     groupProber_.probe(backend);
   }
-  const core::GroupNotice found{steering_.silentGroups().TakeFound()};
+  const core::UnreachableGroupsNotice found{steering_.silentGroups().TakeDetected()};
   for (const core::BackendGroup& group : found.Groups) {
-    logSilentGroup(group, steering_.silentGroups().CountSilent(now), steering_.backends(),
+    logSilentGroup(group, steering_.silentGroups().CountUnreachable(now), steering_.backends(),
                    reader_.revision());
   }
   peers_.Tell(found);
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -96,7 +96,7 @@
   this->Send();
 }
 
-void PeerLink::Tell(const core::GroupNotice& notice)
+void PeerLink::Tell(const core::UnreachableGroupsNotice& notice)
 {
   if (notice.Groups.empty()) {
     return; // As after nearly every batch of packets.
@@ -135,7 +135,8 @@
     this->Relay.OnLoadReport(*load, now);
   } else if (const auto* sum = std::get_if<core::LoadSummary>(&frame)) {
     this->Relay.OnLoadSummary(*sum, now);
-  } else if (const auto* notice = std::get_if<core::GroupNotice>(&frame)) {
+  } else if (const auto* notice =
+               std::get_if<core::UnreachableGroupsNotice>(&frame)) {
     this->View.Steering.onGroupNotice(*notice, now);
   } else if (const auto* asked = std::get_if<core::ViewPageRequest>(&frame)) {
     this->Fill.OnRequest(*asked, now);
--- a/src/daemon/peers/peer_link.h
+++ b/src/daemon/peers/peer_link.h
@@ -63,7 +63,7 @@
   void OnStoreAnswer(core::Time now);
   /// Tell the daemons next to this one that groups were found silent; each
   /// that finds the same passes it on.
-  void Tell(const core::GroupNotice& notice);
+  void Tell(const core::UnreachableGroupsNotice& notice);
   /// Call after the process was suspended.
   void OnResume() { this->Relay.OnResume(); }
   /// Tell the peers that this daemon stops.
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "core/admission/rank_admission.h"
+#include "core/admission/priority_admission.h"
 #include "core/types.h"
 
 namespace cobaltgauge::daemon {
@@ -64,7 +64,7 @@
   bool requireReach = true;  ///< Ready only where some back end is reached.
   bool spill = true;         ///< Openings leave zones without room.
   bool sampleFirst = true;   ///< Flows are taken by a sample of the back ends, until all are known.
-  core::RankAdmissionOptions admission;
+  core::PriorityAdmissionOptions admission;
   std::string policyFile;  ///< Empty: all back ends are weighed alike.
   /// What the file and the flags gave, by flag; for telling what a reload changes.
   std::map<std::string, std::string> given;
--- a/src/daemon/settings_fields.cc
+++ b/src/daemon/settings_fields.cc
@@ -175,7 +175,7 @@
   double share = 0;
   const char* end = text.data() + text.size();
   const auto [stop, error] = std::from_chars(text.data(), end, share, std::chars_format::fixed);
-  settings.admission.LeastShare = share;
+  settings.admission.ReservedShare = share;
   return error == std::errc{} && stop == end && share >= 0 && share <= kMostLeastShare;
 }
 
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -112,7 +112,7 @@
   steering_.setAdmission(&admission_);
   steering_.addOpeningListener(&admission_);
   steering_.setLoadMeter(&peers_.GetLoadMeter());
-  admission_.SetRoom(&peers_.GetLoad(), [this](core::ServiceId service) {
+  admission_.SetCapacityView(&peers_.GetLoad(), [this](core::ServiceId service) {
     return zonesOf(steering_.backends(), service);
   });
   steering_.addOpeningListener(&seenRoom_);
--- a/src/daemon/token_daemon.h
+++ b/src/daemon/token_daemon.h
@@ -74,7 +74,7 @@
   SystemRandom random_;
   net::EdgeFormats formats_;
   PolicyWeights weights_;
-  core::RankAdmission admission_;
+  core::PriorityAdmission admission_;
   core::TokenSteering steering_;
   core::SeenRoom seenRoom_;
   core::ChangeLog changes_;
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -195,9 +195,9 @@
 void logServingChange(const core::ServingChange& change, core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, change.Serving ? "serving" : "not_serving",
            {{"reason", core::ToString(change.Reason)},
-            {"silent", std::to_string(change.Silent)},
+            {"silent", std::to_string(change.UnansweredBackends)},
             {"probes_timed_out", std::to_string(change.TimedOut)},
-            {"silent_ms", std::to_string(change.Since / std::chrono::milliseconds(1))},
+            {"silent_ms", std::to_string(change.UnansweredFor / std::chrono::milliseconds(1))},
             {"revision", toString(viewRevision)}});
 }
 
@@ -211,19 +211,19 @@
 }
 
 void logAdmission(const core::AdmissionState& state) {
-  const core::OpeningFigures& inputs = state.Inputs;
+  const core::OpeningStatistics& inputs = state.Inputs;
   logEvent(LogLevel::kWarning, state.IsLimited ? "openings_limited" : "openings_unlimited",
            {{"service", state.Service},
-            {"let_in_share", fraction(state.Share)},
-            {"let_in_per_s", fraction(state.PerSecond)},
-            {"wanted", fraction(inputs.CountWanted())},
+            {"let_in_share", fraction(state.AdmittedShare)},
+            {"let_in_per_s", fraction(state.AdmittedRate)},
+            {"wanted", fraction(inputs.CountOffered())},
             {"served", std::to_string(inputs.Served)},
             {"rejected", std::to_string(inputs.Rejected)},
             {"within_ms", fraction(inputs.Seconds * kMillisecondsPerSecond)},
-            {"rejected_by_serving", std::to_string(state.Spread.OfServing)},
-            {"expected_of_these", fraction(state.Spread.Expected)},
-            {"room", ToString(state.Room)},
-            {"probe", fraction(state.Probe)}});
+            {"rejected_by_serving", std::to_string(state.Distribution.ByServing)},
+            {"expected_of_these", fraction(state.Distribution.ExpectedByServing)},
+            {"room", ToString(state.Capacity)},
+            {"probe", fraction(state.GrowthFactor)}});
 }
 
 void logSpill(const core::SpillChange& change, const core::BackendRegistry& backends,
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -36,8 +36,8 @@
 
 double seconds(core::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-std::vector<MetricSample> byRank(const core::RankAdmission& admission,
-                                 std::uint64_t core::RankCounters::*count) {
+std::vector<MetricSample> byRank(const core::PriorityAdmission& admission,
+                                 std::uint64_t core::PriorityCounters::*count) {
   std::vector<MetricSample> samples;
   for (const auto& [service, ranks] : admission.GetCounters()) {
     for (const auto& [rank, counters] : ranks) {
@@ -180,18 +180,18 @@
        [](const Sources& s) { return single(s.peers.GetOutliers().GetCounters().Found); }},
       {"cobaltgauge_openings_wanted_total", "Openings that were to be placed, by service and rank",
        "service_rank", MetricType::Counter,
-       [](const Sources& s) { return byRank(s.admission, &core::RankCounters::Wanted); }},
+       [](const Sources& s) { return byRank(s.admission, &core::PriorityCounters::Offered); }},
       {"cobaltgauge_openings_no_room_total",
        "Of those, refused since back ends are full, by service and rank", "service_rank",
        MetricType::Counter,
-       [](const Sources& s) { return byRank(s.admission, &core::RankCounters::Refused); }},
+       [](const Sources& s) { return byRank(s.admission, &core::PriorityCounters::Refused); }},
       {"cobaltgauge_openings_limit_per_second",
        "Openings that are let in while back ends are full; 0: no limit", "service",
        MetricType::Gauge,
        [](const Sources& s) {
          std::vector<MetricSample> samples;
          for (const core::AdmissionState& state : s.admission.GetStates()) {
-           samples.push_back({state.Service, state.PerSecond});
+           samples.push_back({state.Service, state.AdmittedRate});
          }
          return samples;
        }},
@@ -284,18 +284,18 @@
        MetricType::Counter,
        [](const Sources& s) {
          const core::ServingCounters& counters = s.steering.serving().GetCounters();
-         return std::vector<MetricSample>{{"out", static_cast<double>(counters.Left)},
-                                          {"in", static_cast<double>(counters.Returned)}};
+         return std::vector<MetricSample>{{"out", static_cast<double>(counters.StoppedServing)},
+                                          {"in", static_cast<double>(counters.ResumedServing)}};
        }},
       {"cobaltgauge_groups_silent", "Groups whose back ends come last together", nullptr,
        MetricType::Gauge,
-       [](const Sources& s) { return single(s.steering.silentGroups().CountSilent(s.now)); }},
+       [](const Sources& s) { return single(s.steering.silentGroups().CountUnreachable(s.now)); }},
       {"cobaltgauge_groups_found_silent_total", "Groups found silent by this daemon", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Found); }},
+       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Detected); }},
       {"cobaltgauge_groups_ended_total", "Silent groups that an answer or a connection ended",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Ended); }},
+       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Recovered); }},
       {"cobaltgauge_group_probes_total", "Connections opened to neighbours of silent back ends",
        nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Probes); }},
--- a/src/daemon/token_metrics.h
+++ b/src/daemon/token_metrics.h
@@ -41,7 +41,7 @@
   const PeerLink& peers;
   const PacketPort& packets;
   const LatencyHistograms& latencies;
-  const core::RankAdmission& admission;
+  const core::PriorityAdmission& admission;
   bool ready = false;
   core::Time now{};
 };
--- a/src/net/peer_fields.h
+++ b/src/net/peer_fields.h
@@ -30,8 +30,8 @@
                  core::ConfigurationRequest, core::ConfigurationTransfer, core::RecordsMessage,
                  core::RecordsAck, core::RouteHint, core::ListingRequest, ForwardedPacket,
                  core::ViewRequest, core::ViewTransfer, core::ViewSubscription, core::ViewUpdate,
-                 core::OutlierReport, core::LoadReport, core::LoadSummary, core::GroupNotice,
-                 core::ViewPageRequest, core::ViewPage>;
+                 core::OutlierReport, core::LoadReport, core::LoadSummary,
+                 core::UnreachableGroupsNotice, core::ViewPageRequest, core::ViewPage>;
 
 // One overload per message: fieldsOf(m) ties the fields of `m`, const or not.
 
@@ -139,7 +139,7 @@
   return std::tie(m.sender, m.sentAtUs, m.asks, m.nextMs, m.ageMs, m.level, m.daemons, m.loads);
 }
 auto fieldsOf(IsMessage<core::BackendGroup> auto& m) { return std::tie(m.Service, m.Zone); }
-auto fieldsOf(IsMessage<core::GroupNotice> auto& m) { return std::tie(m.Groups); }
+auto fieldsOf(IsMessage<core::UnreachableGroupsNotice> auto& m) { return std::tie(m.Groups); }
 auto fieldsOf(IsMessage<ForwardedPacket> auto& m) {
   return std::tie(m.ingress, m.hops, m.wantsListing, m.protocolType, m.packet);
 }
--- a/tests/core/admission/refused_openings_test.cc
+++ b/tests/core/admission/refused_openings_test.cc
@@ -10,12 +10,12 @@
 using core::RefuseReason;
 
 /// Three back ends that are full, and two routes of different rank.
-struct FullFixture : TokenFixture
+struct OverloadFixture : TokenFixture
 {
-  core::RankAdmission Admission{ {} };
+  core::PriorityAdmission Admission{ {} };
   std::uint16_t LastPlaced = 0;
 
-  FullFixture()
+  OverloadFixture()
   {
     this->steering.setAdmission(&this->Admission);
     core::RouteSet routes = makeRoutes(2, { { 1, "web" }, { 2, "web" } });
@@ -27,11 +27,11 @@
       if (ruleOf(this->open(port))) {
         this->LastPlaced = port;
       }
-      this->End(port);
+      this->FinishOpening(port);
     }
   }
 
-  core::Verdict OpenHigh(std::uint16_t port)
+  core::Verdict OpenHighPriority(std::uint16_t port)
   {
     core::PacketSummary summary = packet(port, core::PacketKind::kOpening);
     summary.flow.destination = endpoint(90, 2, 443);
@@ -39,7 +39,7 @@
   }
 
   /// Half of the openings are turned away, by every back end.
-  void End(std::uint16_t port)
+  void FinishOpening(std::uint16_t port)
   {
     core::OpeningResult result;
     result.Backend = core::BackendId{ port % 3U + 1 };
@@ -61,9 +61,9 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(RefusedOpeningsTest, FullFixture)
+BOOST_FIXTURE_TEST_SUITE(RefusedOpeningsTest, OverloadFixture)
 
-BOOST_AUTO_TEST_CASE(an_opening_is_refused_as_not_run)
+BOOST_AUTO_TEST_CASE(refusal_states_that_the_request_was_not_run)
 {
   const std::uint16_t port = this->FindRefused(0);
   BOOST_REQUIRE(port != 0);
@@ -73,26 +73,27 @@
   BOOST_TEST((refusal->certainty == core::RefusalCertainty::kNotRun));
 }
 
-BOOST_AUTO_TEST_CASE(a_copy_of_an_opening_that_may_have_been_sent_on_is_not)
+BOOST_AUTO_TEST_CASE(retransmitted_opening_is_not_refused)
 {
   BOOST_TEST(this->FindRefused(1) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(an_opening_that_was_sent_on_is_not_refused)
+BOOST_AUTO_TEST_CASE(forwarded_opening_is_not_refused)
 {
   BOOST_REQUIRE(this->FindRefused(0) != 0);
   BOOST_TEST(!refusalOf(this->open(this->LastPlaced)).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_higher_rank_is_placed_while_the_lower_is_refused)
+BOOST_AUTO_TEST_CASE(higher_priority_is_placed_while_lower_is_refused)
 {
-  this->OpenHigh(2000);
-  this->now += core::kAdmissionStep;
+  this->OpenHighPriority(2000);
+  this->now += core::kAdmissionInterval;
   BOOST_REQUIRE(this->FindRefused(0) != 0);
-  BOOST_TEST((refusalOf(this->OpenHigh(3000)) != RefuseReason::kNoRoom));
+  BOOST_TEST(
+    (refusalOf(this->OpenHighPriority(3000)) != RefuseReason::kNoRoom));
 }
 
-BOOST_AUTO_TEST_CASE(a_view_that_may_be_stale_refuses_nobody)
+BOOST_AUTO_TEST_CASE(stale_view_refuses_nothing)
 {
   this->steering.setViewState(true, false);
   BOOST_TEST(this->FindRefused(0) == 0);
--- a/tests/core/domains/dead_group_test.cc
+++ b/tests/core/domains/failed_group_test.cc
@@ -13,9 +13,9 @@
 
 /// Back ends 11 to 50 are of zone "near", 61 to 80 of zone "far"; the policy
 /// is that of equal weights.
-struct DeadGroupFixture : TokenFixture
+struct FailedGroupFixture : TokenFixture
 {
-  DeadGroupFixture()
+  FailedGroupFixture()
   {
     this->removeBackends();
     this->steering.backends().retainOnly({}, ++this->revision, this->now);
@@ -72,45 +72,45 @@
   std::uint16_t Port = 100;
 };
 
-BOOST_FIXTURE_TEST_SUITE(DeadGroupTest, DeadGroupFixture)
+BOOST_FIXTURE_TEST_SUITE(FailedGroupTest, FailedGroupFixture)
 
 // Without a group each of the forty costs a caller its try.
-BOOST_AUTO_TEST_CASE(forty_dead_back_ends_cost_few_openings)
+BOOST_AUTO_TEST_CASE(failed_group_loses_few_openings)
 {
   BOOST_TEST(this->Open(3s, ProbeResult::kRefused) <= 10);
-  BOOST_TEST(this->steering.silentGroups().GetCounters().Found == 1U);
+  BOOST_TEST(this->steering.silentGroups().GetCounters().Detected == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(switched_off_each_costs_an_opening)
+BOOST_AUTO_TEST_CASE(if_disabled_each_failed_backend_loses_an_opening)
 {
   this->steering.silentGroups().SetEnabled(false);
   BOOST_TEST(this->Open(3s, ProbeResult::kRefused) >= 30);
 }
 
 // They take connections, so it is not their death that leaves callers alone.
-BOOST_AUTO_TEST_CASE(back_ends_that_take_connections_stay)
+BOOST_AUTO_TEST_CASE(backends_that_accept_connections_are_not_deprioritized)
 {
   this->Open(3s, ProbeResult::kConnected);
-  BOOST_TEST(this->steering.silentGroups().GetCounters().Found == 0U);
+  BOOST_TEST(this->steering.silentGroups().GetCounters().Detected == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(back_again_they_take_openings_within_a_probe)
+BOOST_AUTO_TEST_CASE(recovered_group_is_used_after_one_probe)
 {
   this->Open(3s, ProbeResult::kRefused);
   this->now += core::kGroupProbeEvery;
   this->Probe(ProbeResult::kConnected);
-  BOOST_TEST(this->steering.silentGroups().CountSilent(this->now) == 0U);
+  BOOST_TEST(this->steering.silentGroups().CountUnreachable(this->now) == 0U);
 }
 
 // The last candidates are used, whatever is believed of them.
-BOOST_AUTO_TEST_CASE(where_all_groups_are_silent_openings_are_still_placed)
+BOOST_AUTO_TEST_CASE(openings_are_placed_when_all_groups_are_unreachable)
 {
   this->Open(3s, ProbeResult::kRefused);
   for (std::uint64_t id = 61; id <= 64; ++id) {
     this->steering.onGroupProbe(
       BackendId{ id }, ProbeResult::kRefused, this->now);
   }
-  BOOST_TEST(this->steering.silentGroups().CountSilent(this->now) == 2U);
+  BOOST_TEST(this->steering.silentGroups().CountUnreachable(this->now) == 2U);
   for (int turn = 0; turn < 50; ++turn) {
     this->backendOf(this->open(++this->Port));
   }
--- a/tests/core/domains/cut_zone_test.cc
+++ b/tests/core/domains/partitioned_zone_test.cc
@@ -10,9 +10,9 @@
 using core::ProbeResult;
 
 /// Back ends 1 to 8 are of zone "far"; "near" is the daemon's own.
-struct CutZoneFixture : TokenFixture
+struct PartitionedZoneFixture : TokenFixture
 {
-  CutZoneFixture()
+  PartitionedZoneFixture()
   {
     for (std::uint8_t id = 1; id <= 8; ++id) {
       this->putInZone("far", id);
@@ -22,7 +22,7 @@
     }
   }
 
-  void TakeOutNear()
+  void EvacuateNear()
   {
     this->steering.backends().putEvacuation(
       "evacuations/1", "near", ++this->revision);
@@ -36,7 +36,7 @@
   bool IsServing() const { return this->steering.serving().IsServing(); }
 
   /// Let a caller open each 50 ms while "far" is not reached.
-  void OpenWhileCut(core::Duration during)
+  void OpenWhilePartitioned(core::Duration during)
   {
     for (const core::Time end = this->now + during; this->now < end;) {
       const BackendId backend = this->backendOf(this->open(++this->Port));
@@ -50,10 +50,10 @@
     }
   }
 
-  std::size_t Probe(bool healed)
+  std::size_t Probe(bool recovered)
   {
     for (const auto& backend : this->steering.takeProbes(this->now)) {
-      const bool reached = healed || !IsFar(backend.id);
+      const bool reached = recovered || !IsFar(backend.id);
       this->steering.onProbe(backend.id,
                              reached ? ProbeResult::kConnected
                                      : ProbeResult::kTimedOut,
@@ -61,7 +61,7 @@
     }
     const auto probes = this->steering.takeReachProbes(this->now);
     for (const core::BackendAddress& backend : probes) {
-      const bool reached = healed || !IsFar(backend.id);
+      const bool reached = recovered || !IsFar(backend.id);
       this->steering.onReachProbe(backend.id,
                                   reached ? ProbeResult::kConnected
                                           : ProbeResult::kTimedOut,
@@ -73,18 +73,19 @@
   std::uint16_t Port = 100;
 };
 
-BOOST_FIXTURE_TEST_SUITE(CutZoneTest, CutZoneFixture)
+BOOST_FIXTURE_TEST_SUITE(PartitionedZoneTest, PartitionedZoneFixture)
 
-BOOST_AUTO_TEST_CASE(cut_off_with_back_ends_of_its_own_it_stays)
+BOOST_AUTO_TEST_CASE(partitioned_daemon_with_local_backends_keeps_serving)
 {
-  this->OpenWhileCut(5s);
+  this->OpenWhilePartitioned(5s);
   BOOST_TEST(this->IsServing());
 }
 
-BOOST_AUTO_TEST_CASE(taken_out_and_cut_off_it_leaves_and_returns_with_the_heal)
+BOOST_AUTO_TEST_CASE(
+  evacuated_and_partitioned_daemon_stops_serving_until_recovery)
 {
-  this->TakeOutNear();
-  this->OpenWhileCut(2s);
+  this->EvacuateNear();
+  this->OpenWhilePartitioned(2s);
   BOOST_TEST(!this->IsServing());
   this->now += core::kServingProbeEvery;
   BOOST_TEST(this->Probe(true) == 1U);
@@ -92,18 +93,18 @@
 }
 
 // Flows that were open before stay with their back ends, which are reached.
-BOOST_AUTO_TEST_CASE(answers_on_old_flows_of_a_zone_taken_out_do_not_keep_it)
+BOOST_AUTO_TEST_CASE(answers_on_flows_of_an_evacuated_zone_do_not_count)
 {
   BackendId backend = core::kNoBackend;
   while (backend == core::kNoBackend || IsFar(backend)) {
     backend = this->openAndAnswer(++this->Port);
   }
-  const std::uint16_t old = this->Port;
-  this->TakeOutNear();
+  const std::uint16_t oldPort = this->Port;
+  this->EvacuateNear();
   std::uint32_t bytes = 1;
   for (int turn = 0; turn < 10; ++turn) {
-    this->OpenWhileCut(200ms);
-    const core::Verdict verdict = this->send(old, backend, ++bytes, 0);
+    this->OpenWhilePartitioned(200ms);
+    const core::Verdict verdict = this->send(oldPort, backend, ++bytes, 0);
     // Out or in, an open flow is forwarded.
     BOOST_TEST((this->backendOf(verdict) == backend));
   }
@@ -111,11 +112,10 @@
 }
 
 // Its callers' flows may have been opened at other daemons meanwhile.
-BOOST_AUTO_TEST_CASE(
-  after_the_heal_it_refuses_no_flow_of_a_back_end_that_lives)
+BOOST_AUTO_TEST_CASE(after_recovery_flows_of_live_backends_are_forwarded)
 {
-  this->TakeOutNear();
-  this->OpenWhileCut(2s);
+  this->EvacuateNear();
+  this->OpenWhilePartitioned(2s);
   BOOST_REQUIRE(!this->IsServing());
   BOOST_REQUIRE(this->steering.health().counters().declaredDead > 1U);
   this->now += core::kServingProbeEvery;
@@ -128,30 +128,30 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(cut_off_it_resets_no_flow)
+BOOST_AUTO_TEST_CASE(partitioned_daemon_resets_no_flow)
 {
-  this->TakeOutNear();
-  this->OpenWhileCut(2s);
+  this->EvacuateNear();
+  this->OpenWhilePartitioned(2s);
   BOOST_REQUIRE(!this->IsServing());
   this->steering.takeResets();
-  this->OpenWhileCut(5s);
+  this->OpenWhilePartitioned(5s);
   BOOST_TEST(this->steering.takeResets().empty());
 }
 
 // It has no say in what reaches it, where most of its zone is out.
-BOOST_AUTO_TEST_CASE(an_opening_that_comes_all_the_same_is_sent_on)
+BOOST_AUTO_TEST_CASE(daemon_that_is_not_serving_still_forwards_openings)
 {
-  this->TakeOutNear();
-  this->OpenWhileCut(2s);
+  this->EvacuateNear();
+  this->OpenWhilePartitioned(2s);
   BOOST_REQUIRE(!this->IsServing());
   BOOST_TEST(IsFar(this->backendOf(this->open(++this->Port))));
 }
 
 // The store is on this side of the cut: the others' registrations lapse.
-BOOST_AUTO_TEST_CASE(with_all_registrations_gone_it_is_ready)
+BOOST_AUTO_TEST_CASE(daemon_without_any_registered_backend_is_serving)
 {
-  this->TakeOutNear();
-  this->OpenWhileCut(2s);
+  this->EvacuateNear();
+  this->OpenWhilePartitioned(2s);
   BOOST_REQUIRE(!this->IsServing());
   this->steering.backends().retainOnly({}, ++this->revision, this->now);
   this->now += core::kServingProbeEvery;
@@ -159,7 +159,7 @@
   BOOST_TEST(this->IsServing());
 }
 
-BOOST_AUTO_TEST_CASE(it_counts_as_serving_from_its_first_view_on)
+BOOST_AUTO_TEST_CASE(daemon_is_serving_initially)
 {
   BOOST_TEST(this->IsServing());
   this->now += 60s;
--- a/tests/core/domains/serving_readiness_test.cc
+++ b/tests/core/domains/serving_readiness_test.cc
@@ -21,7 +21,8 @@
 {
   core::ServingReadiness Readiness;
   core::Time Now = 100s;
-  std::uint64_t Drawn = 1000; ///< Of the back end that was probed last.
+  std::uint64_t LastProbedBackend =
+    1000; ///< Of the back end that was probed last.
   core::Time NextOpening{};
   std::size_t Opened = 0;
 
@@ -35,7 +36,8 @@
   {
     const std::vector<ServiceId> due = this->Readiness.TakeProbes(this->Now);
     for (std::size_t index = 0; index < due.size(); ++index) {
-      this->Readiness.OnProbe(BackendId{ ++this->Drawn }, result, this->Now);
+      this->Readiness.OnProbe(
+        BackendId{ ++this->LastProbedBackend }, result, this->Now);
     }
     return due.size();
   }
@@ -56,7 +58,7 @@
     return probes;
   }
 
-  void Leave()
+  void StopServing()
   {
     this->Open(600ms, ProbeResult::kTimedOut);
     BOOST_REQUIRE(!this->Readiness.IsServing());
@@ -65,37 +67,37 @@
 
 BOOST_FIXTURE_TEST_SUITE(ServingReadinessTest, ReadinessFixture)
 
-BOOST_AUTO_TEST_CASE(a_daemon_without_callers_is_ready)
+BOOST_AUTO_TEST_CASE(daemon_without_clients_is_serving)
 {
   this->Tick(1h);
   BOOST_TEST(this->Readiness.IsServing());
   BOOST_TEST(this->Probe(ProbeResult::kTimedOut) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(it_leaves_where_all_are_silent_and_probes_time_out)
+BOOST_AUTO_TEST_CASE(
+  stops_serving_when_backends_are_silent_and_probes_time_out)
 {
-  this->Leave();
+  this->StopServing();
   const auto changes = this->Readiness.TakeChanges();
   BOOST_REQUIRE(changes.size() == 1U);
   BOOST_TEST(!changes[0].Serving);
-  BOOST_TEST((changes[0].Reason == ServingReason::kUnreached));
-  BOOST_TEST(changes[0].Silent >= core::kSilentToLeave);
+  BOOST_TEST((changes[0].Reason == ServingReason::kUnreachable));
+  BOOST_TEST(changes[0].UnansweredBackends >= core::kSilentToLeave);
   BOOST_TEST(changes[0].TimedOut >= core::kProbesToLeave);
-  BOOST_TEST(this->Readiness.GetCounters().Left == 1U);
+  BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(any_answer_of_any_service_keeps_it_in)
+BOOST_AUTO_TEST_CASE(any_answer_keeps_it_serving)
 {
   for (int turn = 0; turn < 50; ++turn) {
     this->Open(100ms, ProbeResult::kTimedOut);
     this->Readiness.OnAnswer(this->Now);
   }
-  BOOST_TEST(this->Readiness.GetCounters().Left == 0U);
+  BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 0U);
 }
 
 // All back ends of one service are dead, and callers want no other just now.
-BOOST_AUTO_TEST_CASE(
-  a_service_that_is_dead_is_no_reason_while_another_connects)
+BOOST_AUTO_TEST_CASE(failed_service_does_not_matter_while_another_connects)
 {
   this->Readiness.OnOpening(BackendId{ 500 }, kSecond, this->Now);
   this->Tick(10ms);
@@ -106,23 +108,23 @@
     this->Tick(50ms);
     for (const ServiceId service : this->Readiness.TakeProbes(this->Now)) {
       const bool dead = service == kFirst;
-      this->Readiness.OnProbe(BackendId{ ++this->Drawn },
+      this->Readiness.OnProbe(BackendId{ ++this->LastProbedBackend },
                               dead ? ProbeResult::kTimedOut
                                    : ProbeResult::kConnected,
                               this->Now);
     }
   }
-  BOOST_TEST(this->Readiness.GetCounters().Left == 0U);
+  BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 0U);
 }
 
 // Machines that refuse are reached; other daemons would find the same.
-BOOST_AUTO_TEST_CASE(refused_connections_are_no_reason)
+BOOST_AUTO_TEST_CASE(refused_connections_do_not_stop_serving)
 {
   BOOST_TEST(this->Open(5s, ProbeResult::kRefused) > 0U);
-  BOOST_TEST(this->Readiness.GetCounters().Left == 0U);
+  BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(one_silent_back_end_is_no_reason)
+BOOST_AUTO_TEST_CASE(one_silent_backend_does_not_stop_serving)
 {
   for (int turn = 0; turn < 40; ++turn) {
     this->Readiness.OnOpening(BackendId{ 1 }, kFirst, this->Now);
@@ -132,26 +134,26 @@
   BOOST_TEST(this->Readiness.IsServing());
 }
 
-BOOST_AUTO_TEST_CASE(it_returns_at_once_when_a_probe_connects)
+BOOST_AUTO_TEST_CASE(resumes_serving_when_a_probe_connects)
 {
-  this->Leave();
+  this->StopServing();
   this->Tick(core::kServingProbeEvery);
   BOOST_TEST(this->Probe(ProbeResult::kConnected) == 1U);
   BOOST_TEST(this->Readiness.IsServing());
   BOOST_TEST((this->Readiness.GetReason() == ServingReason::kConnected));
 }
 
-BOOST_AUTO_TEST_CASE(it_returns_at_once_when_a_caller_is_answered)
+BOOST_AUTO_TEST_CASE(resumes_serving_when_a_client_is_answered)
 {
-  this->Leave();
+  this->StopServing();
   this->Readiness.OnAnswer(this->Now);
   BOOST_TEST(this->Readiness.IsServing());
 }
 
 // Without callers it goes on to probe, for as long as it takes.
-BOOST_AUTO_TEST_CASE(out_it_probes_a_few_times_a_second)
+BOOST_AUTO_TEST_CASE(probes_periodically_while_not_serving)
 {
-  this->Leave();
+  this->StopServing();
   std::size_t probes = 0;
   for (int turn = 0; turn < 600; ++turn) {
     this->Tick(100ms);
@@ -162,7 +164,7 @@
   BOOST_TEST(probes <= 240U);
 }
 
-BOOST_AUTO_TEST_CASE(it_does_not_flap)
+BOOST_AUTO_TEST_CASE(serving_state_does_not_flap)
 {
   int changes = 0;
   for (int turn = 0; turn < 200; ++turn) {
@@ -176,7 +178,7 @@
   BOOST_TEST(changes <= 2 * 10);
 }
 
-BOOST_AUTO_TEST_CASE(its_own_suspension_is_no_reason)
+BOOST_AUTO_TEST_CASE(gap_between_ticks_clears_evidence)
 {
   this->Open(150ms, ProbeResult::kTimedOut);
   this->Tick(10s);
@@ -186,41 +188,41 @@
   BOOST_TEST(this->Readiness.IsServing());
 }
 
-BOOST_AUTO_TEST_CASE(after_a_suspension_it_starts_anew)
+BOOST_AUTO_TEST_CASE(resume_after_suspension_restores_serving)
 {
-  this->Leave();
+  this->StopServing();
   this->Readiness.OnResume();
   BOOST_TEST(this->Readiness.IsServing());
 }
 
-BOOST_AUTO_TEST_CASE(without_back_ends_to_ask_it_is_ready)
+BOOST_AUTO_TEST_CASE(serves_when_no_backend_is_left_to_probe)
 {
-  this->Leave();
+  this->StopServing();
   this->Readiness.OnNoBackends(kFirst, this->Now);
   BOOST_TEST(this->Readiness.IsServing());
 }
 
-BOOST_AUTO_TEST_CASE(one_service_without_back_ends_does_not_bring_it_back)
+BOOST_AUTO_TEST_CASE(one_service_without_backends_does_not_restore_serving)
 {
   this->Readiness.OnOpening(BackendId{ 500 }, kSecond, this->Now);
-  this->Leave();
+  this->StopServing();
   this->Readiness.OnNoBackends(kSecond, this->Now);
   BOOST_TEST(!this->Readiness.IsServing());
 }
 
 // Each daemon goes by what it sees: another one's trouble is not its own.
-BOOST_AUTO_TEST_CASE(one_daemons_trouble_takes_out_it_alone)
+BOOST_AUTO_TEST_CASE(state_of_one_daemon_does_not_affect_another)
 {
-  core::ServingReadiness neighbour;
-  this->Leave();
-  neighbour.OnOpening(BackendId{ 1 }, kFirst, this->Now);
-  neighbour.OnTick(this->Now);
-  neighbour.OnAnswer(this->Now + 5ms);
-  BOOST_TEST(neighbour.IsServing());
-  BOOST_TEST(neighbour.TakeProbes(this->Now + 1s).empty());
+  core::ServingReadiness otherDaemon;
+  this->StopServing();
+  otherDaemon.OnOpening(BackendId{ 1 }, kFirst, this->Now);
+  otherDaemon.OnTick(this->Now);
+  otherDaemon.OnAnswer(this->Now + 5ms);
+  BOOST_TEST(otherDaemon.IsServing());
+  BOOST_TEST(otherDaemon.TakeProbes(this->Now + 1s).empty());
 }
 
-BOOST_AUTO_TEST_CASE(it_can_be_switched_off)
+BOOST_AUTO_TEST_CASE(check_can_be_disabled)
 {
   this->Readiness.SetRequired(false);
   BOOST_TEST(this->Open(2s, ProbeResult::kTimedOut) == 0U);
--- a/tests/core/domains/silent_groups_test.cc
+++ b/tests/core/domains/unreachable_groups_test.cc
@@ -1,4 +1,4 @@
-#include "core/domains/silent_groups.h"
+#include "core/domains/unreachable_groups.h"
 
 #include <rapidcheck.h>
 
@@ -20,7 +20,7 @@
 using core::ZoneId;
 
 constexpr BackendGroup kGroup{ ServiceId{ 1 }, ZoneId{ 1 } };
-constexpr BackendGroup kElsewhere{ ServiceId{ 1 }, ZoneId{ 2 } };
+constexpr BackendGroup kOtherZoneGroup{ ServiceId{ 1 }, ZoneId{ 2 } };
 constexpr std::uint64_t kMembers = 40;
 
 core::PlacementCandidate MakeCandidate(std::uint64_t id,
@@ -36,7 +36,7 @@
 /// One daemon; back ends 1 to 40 are one group.
 struct GroupsFixture
 {
-  core::SilentGroups Groups;
+  core::UnreachableGroups Groups;
   core::Time Now = 100s;
 
   void OnProbe(std::uint64_t id, ProbeResult result)
@@ -46,7 +46,7 @@
       for (std::uint64_t member = 1; member <= kMembers; ++member) {
         members.push_back(BackendId{ member });
       }
-      this->Groups.Mark(kGroup, members, this->Now);
+      this->Groups.MarkUnreachable(kGroup, members, this->Now);
     }
   }
 
@@ -54,7 +54,8 @@
   std::size_t Probe(std::uint64_t first, ProbeResult result)
   {
     std::size_t probes = 0;
-    for (const core::GroupProbes& due : this->Groups.TakeProbes(this->Now)) {
+    for (const core::GroupProbeRequest& due :
+         this->Groups.TakeProbes(this->Now)) {
       for (std::size_t index = 0; index < due.Count; ++index) {
         this->OnProbe(first + probes++, result);
       }
@@ -62,11 +63,11 @@
     return probes;
   }
 
-  void FindGroup()
+  void DetectGroup()
   {
     this->OnProbe(1, ProbeResult::kRefused);
     this->Probe(2, ProbeResult::kRefused);
-    BOOST_REQUIRE(this->Groups.CountSilent(this->Now) == 1U);
+    BOOST_REQUIRE(this->Groups.CountUnreachable(this->Now) == 1U);
   }
 
   bool ComesLast(std::uint64_t id, const BackendGroup& group = kGroup) const
@@ -75,20 +76,20 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(SilentGroupsTest, GroupsFixture)
+BOOST_FIXTURE_TEST_SUITE(UnreachableGroupsTest, GroupsFixture)
 
-BOOST_AUTO_TEST_CASE(forty_that_die_at_once_cost_one_caller_its_try)
+BOOST_AUTO_TEST_CASE(failed_probes_deprioritize_the_whole_group)
 {
   this->OnProbe(1, ProbeResult::kRefused);
   BOOST_TEST(!this->ComesLast(40));
   BOOST_TEST(this->Probe(2, ProbeResult::kRefused) ==
              core::kUnconnectedForGroup - 1);
   BOOST_TEST(this->ComesLast(40));
-  BOOST_TEST(!this->ComesLast(41, kElsewhere));
-  BOOST_TEST(this->Groups.TakeFound().size() == 1U);
+  BOOST_TEST(!this->ComesLast(41, kOtherZoneGroup));
+  BOOST_TEST(this->Groups.TakeDetected().size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_group_of_which_others_connect_is_not_silent)
+BOOST_AUTO_TEST_CASE(successful_probe_keeps_the_group_reachable)
 {
   this->OnProbe(1, ProbeResult::kRefused);
   this->Probe(2, ProbeResult::kConnected);
@@ -97,51 +98,51 @@
 }
 
 // A full back end turns callers away, and takes connections.
-BOOST_AUTO_TEST_CASE(overload_marks_nothing)
+BOOST_AUTO_TEST_CASE(overloaded_backends_are_not_unreachable)
 {
   for (std::uint64_t id = 1; id <= kMembers; ++id) {
     this->OnProbe(id, ProbeResult::kConnected);
   }
-  BOOST_TEST(this->Groups.CountSilent(this->Now) == 0U);
+  BOOST_TEST(this->Groups.CountUnreachable(this->Now) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_in_between_begins_the_count_anew)
+BOOST_AUTO_TEST_CASE(answer_resets_the_count)
 {
   this->OnProbe(1, ProbeResult::kRefused);
   this->OnProbe(2, ProbeResult::kRefused);
   this->Groups.OnAnswer(BackendId{ 3 }, kGroup, this->Now);
   this->OnProbe(4, ProbeResult::kRefused);
   this->OnProbe(5, ProbeResult::kRefused);
-  BOOST_TEST(this->Groups.CountSilent(this->Now) == 0U);
+  BOOST_TEST(this->Groups.CountUnreachable(this->Now) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(the_same_one_again_and_again_is_no_group)
+BOOST_AUTO_TEST_CASE(repeated_failures_of_one_member_are_not_a_group)
 {
   for (int turn = 0; turn < 20; ++turn) {
     this->OnProbe(1, ProbeResult::kTimedOut);
   }
-  BOOST_TEST(this->Groups.CountSilent(this->Now) == 0U);
+  BOOST_TEST(this->Groups.CountUnreachable(this->Now) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(one_answer_ends_it_for_all)
+BOOST_AUTO_TEST_CASE(one_answer_restores_the_group)
 {
-  this->FindGroup();
+  this->DetectGroup();
   this->Groups.OnAnswer(BackendId{ 17 }, kGroup, this->Now);
   BOOST_TEST(!this->ComesLast(1));
-  BOOST_TEST(this->Groups.GetCounters().Ended == 1U);
+  BOOST_TEST(this->Groups.GetCounters().Recovered == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(those_that_come_back_under_new_ids_take_flows_at_once)
+BOOST_AUTO_TEST_CASE(new_members_are_not_deprioritized)
 {
-  this->FindGroup();
+  this->DetectGroup();
   BOOST_TEST(!this->ComesLast(kMembers + 1));
   this->Groups.OnAnswer(BackendId{ kMembers + 1 }, kGroup, this->Now);
   BOOST_TEST(this->ComesLast(1));
 }
 
-BOOST_AUTO_TEST_CASE(it_is_tried_again_by_few_and_fades_without_them)
+BOOST_AUTO_TEST_CASE(unreachable_group_is_probed_and_expires_without_probes)
 {
-  this->FindGroup();
+  this->DetectGroup();
   std::size_t probes = 0;
   for (int turn = 0; turn < 40; ++turn) {
     this->Now += 100ms;
@@ -155,7 +156,7 @@
   BOOST_TEST(this->Groups.IsEmpty());
 }
 
-BOOST_AUTO_TEST_CASE(a_notice_has_the_group_probed_and_no_more)
+BOOST_AUTO_TEST_CASE(notice_only_triggers_probes)
 {
   this->Groups.OnNotice(kGroup, this->Now);
   BOOST_TEST(!this->ComesLast(1));
@@ -165,7 +166,7 @@
 }
 
 // A daemon that lies, or hears late what is over, moves no opening.
-BOOST_AUTO_TEST_CASE(a_notice_that_is_wrong_costs_a_few_connections)
+BOOST_AUTO_TEST_CASE(wrong_notices_cause_few_probes)
 {
   std::size_t probes = 0;
   for (int turn = 0; turn < 1000; ++turn) {
@@ -178,7 +179,7 @@
 }
 
 /// Daemons in a ring that tell each other what they found.
-bool FadesInARing(const std::vector<int>& deaths)
+bool ExpiresInRing(const std::vector<int>& failures)
 {
   std::array<GroupsFixture, 5> ring;
   core::Time now = 100s;
@@ -187,16 +188,16 @@
     for (std::size_t index = 0; index < ring.size(); ++index) {
       ring[index].Now = now;
       ring[index].Probe(1, result);
-      if (!ring[index].Groups.TakeFound().empty()) {
+      if (!ring[index].Groups.TakeDetected().empty()) {
         ring[(index + 1) % ring.size()].Groups.OnNotice(kGroup, now);
         ring[(index + 4) % ring.size()].Groups.OnNotice(kGroup, now);
       }
       ring[index].Groups.Expire(now);
     }
   };
-  for (const int death : deaths) {
-    ring.at(static_cast<std::size_t>(death) % ring.size())
-      .OnProbe(static_cast<std::uint64_t>(death) + 1, ProbeResult::kRefused);
+  for (const int failure : failures) {
+    ring.at(static_cast<std::size_t>(failure) % ring.size())
+      .OnProbe(static_cast<std::uint64_t>(failure) + 1, ProbeResult::kRefused);
     step(ProbeResult::kRefused);
   }
   // All are back; nobody is told.
@@ -209,37 +210,37 @@
     });
 }
 
-BOOST_AUTO_TEST_CASE(echoes_between_daemons_keep_nothing_alive)
+BOOST_AUTO_TEST_CASE(notices_do_not_sustain_each_other)
 {
   BOOST_TEST(rc::check("a ring forgets", [] {
-    RC_ASSERT(FadesInARing(*rc::gen::container<std::vector<int>>(
+    RC_ASSERT(ExpiresInRing(*rc::gen::container<std::vector<int>>(
       rc::gen::inRange(0, static_cast<int>(kMembers)))));
   }));
 }
 
-BOOST_AUTO_TEST_CASE(after_a_suspension_nothing_is_known)
+BOOST_AUTO_TEST_CASE(resume_clears_all_state)
 {
-  this->FindGroup();
+  this->DetectGroup();
   this->Groups.OnResume();
   BOOST_TEST(!this->ComesLast(1));
 }
 
-BOOST_AUTO_TEST_CASE(whatever_was_seen_fades)
+BOOST_AUTO_TEST_CASE(state_expires_without_new_evidence)
 {
-  const bool fades = rc::check("fades without news", [] {
+  const bool expires = rc::check("expires without news", [] {
     GroupsFixture daemon;
     const auto steps = *rc::gen::container<std::vector<int>>(
       rc::gen::inRange(0, static_cast<int>(4 * kMembers)));
     for (const int step : steps) {
       const std::uint64_t id = 1 + static_cast<std::uint64_t>(step) % kMembers;
-      const auto act = static_cast<std::uint64_t>(step) / kMembers;
+      const auto action = static_cast<std::uint64_t>(step) / kMembers;
       daemon.Now += 7ms;
-      if (act == 0) {
+      if (action == 0) {
         daemon.Groups.OnAnswer(BackendId{ id }, kGroup, daemon.Now);
         RC_ASSERT(!daemon.ComesLast(id));
       } else {
         daemon.OnProbe(
-          id, act == 1 ? ProbeResult::kTimedOut : ProbeResult::kRefused);
+          id, action == 1 ? ProbeResult::kTimedOut : ProbeResult::kRefused);
       }
     }
     daemon.Now += core::kGroupSilentFor;
@@ -247,7 +248,7 @@
       RC_ASSERT(!daemon.ComesLast(id));
     }
   });
-  BOOST_TEST(fades);
+  BOOST_TEST(expires);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/warmup/warm_up_budget_test.cc
+++ b/tests/core/warmup/warm_up_budget_test.cc
@@ -12,20 +12,20 @@
 
 using namespace std::chrono_literals;
 
-/// The users' rule: a cold back end gets at most this many openings in any
+/// The users' rule: a cold back end gets at max this many openings in any
 /// second, by what it bears.
-constexpr double kOverage = 1.5;
-constexpr double kSlack = 5;
-constexpr core::Duration kRuleWindow = 1s;
+constexpr double kMaxRateFactor = 1.5;
+constexpr double kMaxExcessOpenings = 5;
+constexpr core::Duration kRateWindow = 1s;
 
-/// Daemons that each want to give every cold back end all that they can.
+/// Daemons that each want to give every cold back end count that they can.
 struct WarmingFleet
 {
   std::vector<core::WarmUpBudget> Daemons;
   std::vector<std::vector<core::Time>> Openings; ///< By back end.
 
   WarmingFleet(std::uint32_t daemons,
-               std::uint32_t believed,
+               std::uint32_t assumedDaemons,
                std::size_t backends)
     : Openings(backends)
   {
@@ -33,7 +33,7 @@
       const std::string name = "daemon-" + std::to_string(i);
       this->Daemons.emplace_back(
         static_cast<std::uint64_t>(core::memberIdOf(name)));
-      this->Daemons.back().SetFleet(believed);
+      this->Daemons.back().SetDaemonCount(assumedDaemons);
     }
   }
 
@@ -53,64 +53,66 @@
     }
   }
 
-  /// \return the most openings that one back end got in one second.
-  std::size_t Most() const
+  /// \return the max openings that one back end got in one second.
+  std::size_t MaxInOneWindow() const
   {
-    std::size_t most = 0;
+    std::size_t max = 0;
     for (const auto& times : this->Openings) {
       for (auto end = times.begin(); end != times.end(); ++end) {
         const auto begin =
-          std::lower_bound(times.begin(), end, *end - kRuleWindow);
-        most = std::max(most, static_cast<std::size_t>(end - begin) + 1);
+          std::lower_bound(times.begin(), end, *end - kRateWindow);
+        max = std::max(max, static_cast<std::size_t>(end - begin) + 1);
       }
     }
-    return most;
+    return max;
   }
 
-  std::size_t All() const
+  std::size_t CountOpenings() const
   {
-    std::size_t all = 0;
+    std::size_t count = 0;
     for (const auto& times : this->Openings) {
-      all += times.size();
+      count += times.size();
     }
-    return all;
+    return count;
   }
 };
 
 BOOST_AUTO_TEST_SUITE(WarmUpBudgetTest)
 
-BOOST_AUTO_TEST_CASE(a_fleet_keeps_the_bound_and_uses_its_share)
+BOOST_AUTO_TEST_CASE(fleet_stays_within_the_rate_and_uses_its_share)
 {
   for (const std::uint32_t daemons : { 1U, 2U, 7U, 30U, 74U, 295U }) {
     for (const double perSecond : { 0.5, 1.0, 4.0, 10.0, 40.0, 100.0 }) {
       WarmingFleet fleet(daemons, daemons, 40);
       fleet.Run(perSecond, 3300ms);
-      const double bound = perSecond * kOverage + kSlack;
-      BOOST_TEST(static_cast<double>(fleet.Most()) <= bound,
+      const double maxOpenings =
+        perSecond * kMaxRateFactor + kMaxExcessOpenings;
+      BOOST_TEST(static_cast<double>(fleet.MaxInOneWindow()) <= maxOpenings,
                  daemons << " daemons, " << perSecond << " a second");
       // Of 40 back ends together, in three windows; few are left to chance.
-      const double wanted = perSecond * core::kWarmUpShare * 40 * 3;
-      BOOST_TEST(static_cast<double>(fleet.All()) > (wanted - 20) * 0.5,
+      const double expected = perSecond * core::kWarmUpShare * 40 * 3;
+      BOOST_TEST(static_cast<double>(fleet.CountOpenings()) >
+                   (expected - 20) * 0.5,
                  daemons << " daemons, " << perSecond << " a second");
     }
   }
 }
 
 // Two halves that never heard of each other.
-BOOST_AUTO_TEST_CASE(a_fleet_that_counts_half_of_itself_keeps_the_bound)
+BOOST_AUTO_TEST_CASE(fleet_that_undercounts_by_half_stays_within_the_rate)
 {
   for (const std::uint32_t daemons : { 20U, 74U, 295U }) {
     for (const double perSecond : { 1.0, 4.0, 10.0, 40.0 }) {
       WarmingFleet fleet(daemons, daemons / 2, 40);
       fleet.Run(perSecond, 2200ms);
-      BOOST_TEST(static_cast<double>(fleet.Most()) <=
-                   perSecond * kOverage + kSlack,
+      BOOST_TEST(static_cast<double>(fleet.MaxInOneWindow()) <=
+                   perSecond * kMaxRateFactor + kMaxExcessOpenings,
                  daemons << " daemons, " << perSecond << " a second");
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_daemon_that_knows_no_count_is_one_of_many)
+BOOST_AUTO_TEST_CASE(unknown_daemon_count_assumes_a_large_fleet)
 {
   core::WarmUpBudget daemon(1);
   std::size_t allowed = 0;
@@ -122,10 +124,10 @@
   BOOST_TEST(allowed < 20U);
 }
 
-BOOST_AUTO_TEST_CASE(openings_count_for_a_window)
+BOOST_AUTO_TEST_CASE(openings_count_for_one_window)
 {
   core::WarmUpBudget daemon(1);
-  daemon.SetFleet(1);
+  daemon.SetDaemonCount(1);
   const core::BackendId backend{ 9 };
   BOOST_TEST(daemon.MayOpen(backend, 3.0, 100s));
   daemon.OnOpening(backend, 100s);
--- a/tests/core/warmup/cold_openings_test.cc
+++ b/tests/core/warmup/warm_up_openings_test.cc
@@ -12,24 +12,24 @@
 
 /// One daemon that is all there is; cold back ends bear six openings a second,
 /// and two are what it means to use.
-struct ColdFixture : TokenFixture
+struct WarmUpFixture : TokenFixture
 {
-  static constexpr double kBears = 6;
+  static constexpr double kWarmUpRate = 6;
 
-  ColdFixture()
+  WarmUpFixture()
   {
     this->steering.setFleet(1);
-    this->SetBound(2, kBears);
+    this->SetWarmUpRate(2, kWarmUpRate);
   }
 
-  void SetBound(core::ConfigurationVersion version, double perSecond)
+  void SetWarmUpRate(core::ConfigurationVersion version, double perSecond)
   {
     core::RouteSet set = makeRoutes(version, { { 1, "web" } });
     set.services.push_back({ "web", 5s, perSecond });
     this->steering.routes().offer(set, this->now);
   }
 
-  void PutCold(std::uint8_t id)
+  void PutWarmingUp(std::uint8_t id)
   {
     core::Registration registration = makeRegistration(id, "web", 1, id);
     registration.warmUpLeft = 5s;
@@ -37,7 +37,7 @@
   }
 
   /// Count openings within a second that go to the back end with number 4.
-  int CountAtFourth(std::uint16_t firstPort)
+  int CountAtBackend4(std::uint16_t firstPort)
   {
     int count = 0;
     for (std::uint16_t port = firstPort; port < firstPort + 50; ++port) {
@@ -50,28 +50,28 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(ColdOpeningsTest, ColdFixture)
+BOOST_FIXTURE_TEST_SUITE(WarmUpOpeningsTest, WarmUpFixture)
 
 // It had the fewest open flows, so every daemon chose it at once.
-BOOST_AUTO_TEST_CASE(a_cold_back_end_gets_what_it_bears_and_others_the_rest)
+BOOST_AUTO_TEST_CASE(warming_backend_gets_at_most_its_rate)
 {
-  this->PutCold(4);
-  BOOST_TEST(this->CountAtFourth(100) == 2);
+  this->PutWarmingUp(4);
+  BOOST_TEST(this->CountAtBackend4(100) == 2);
   this->now += 5s;
-  BOOST_TEST(this->CountAtFourth(200) > 2);
+  BOOST_TEST(this->CountAtBackend4(200) > 2);
 }
 
-BOOST_AUTO_TEST_CASE(without_a_bound_a_cold_back_end_gets_its_part)
+BOOST_AUTO_TEST_CASE(without_a_rate_limit_a_warming_backend_gets_its_share)
 {
-  this->SetBound(3, 0);
-  this->PutCold(4);
-  BOOST_TEST(this->CountAtFourth(100) > 4);
+  this->SetWarmUpRate(3, 0);
+  this->PutWarmingUp(4);
+  BOOST_TEST(this->CountAtBackend4(100) > 4);
 }
 
-BOOST_AUTO_TEST_CASE(where_all_are_cold_openings_wait_and_the_last_is_refused)
+BOOST_AUTO_TEST_CASE(if_all_backends_warm_up_openings_are_delayed_then_refused)
 {
   for (std::uint8_t id = 1; id <= 3; ++id) {
-    this->PutCold(id);
+    this->PutWarmingUp(id);
   }
   int placed = 0;
   for (std::uint16_t port = 100; port < 120; ++port) {
@@ -90,10 +90,10 @@
 
 // 32 back ends are drawn to be compared; none of them may be the one that is
 // warm.
-BOOST_AUTO_TEST_CASE(the_one_warm_back_end_of_many_is_found)
+BOOST_AUTO_TEST_CASE(single_warm_backend_of_many_is_found)
 {
   for (std::uint8_t id = 1; id <= 100; ++id) {
-    this->PutCold(id);
+    this->PutWarmingUp(id);
   }
   this->steering.setFleet(core::kLargestFleet);
   this->putBackend(101, makeRegistration(101, "web", 1, 101));
--- a/tests/core/zones/allowed_regions_test.cc
+++ b/tests/core/zones/allowed_regions_test.cc
@@ -30,7 +30,7 @@
     this->steering.routes().offer(set, this->now);
   }
 
-  std::set<BackendId> Used(std::uint16_t firstPort)
+  std::set<BackendId> GetUsedBackends(std::uint16_t firstPort)
   {
     std::set<BackendId> used;
     for (std::uint16_t port = firstPort; port < firstPort + 40; ++port) {
@@ -43,24 +43,24 @@
 
 BOOST_FIXTURE_TEST_SUITE(AllowedRegionsTest, RegionsFixture)
 
-BOOST_AUTO_TEST_CASE(a_route_without_regions_uses_all)
+BOOST_AUTO_TEST_CASE(route_without_regions_uses_all_backends)
 {
-  BOOST_TEST(this->Used(100).size() == 5U);
+  BOOST_TEST(this->GetUsedBackends(100).size() == 5U);
 }
 
-BOOST_AUTO_TEST_CASE(only_back_ends_in_a_routes_regions_get_its_flows)
+BOOST_AUTO_TEST_CASE(only_backends_in_allowed_regions_get_flows)
 {
   this->Allow(2, { "south" });
-  BOOST_TEST((this->Used(100) == std::set{ BackendId{ 4 } }));
+  BOOST_TEST((this->GetUsedBackends(100) == std::set{ BackendId{ 4 } }));
   // The one in the south has 40 flows by now.
   this->Allow(3, { "north", "south" });
-  BOOST_TEST((this->Used(200) ==
+  BOOST_TEST((this->GetUsedBackends(200) ==
               std::set{ BackendId{ 1 }, BackendId{ 2 }, BackendId{ 3 } }));
   this->Allow(4, {});
-  BOOST_TEST(this->Used(300).count(BackendId{ 5 }) == 1U);
+  BOOST_TEST(this->GetUsedBackends(300).count(BackendId{ 5 }) == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(without_any_there_an_opening_is_not_sent_elsewhere)
+BOOST_AUTO_TEST_CASE(opening_is_dropped_if_no_backend_is_in_an_allowed_region)
 {
   this->Allow(2, { "west" });
   BOOST_TEST((dropOf(this->open(100)) == DropReason::kEmptyService));
--- a/tests/core/zones/evacuated_openings_test.cc
+++ b/tests/core/zones/evacuated_openings_test.cc
@@ -32,13 +32,14 @@
 
   void Evacuate(const std::string& zone)
   {
-    this->Take("evacuate/" + zone, core::ZoneEvacuation{ zone });
+    this->ApplyChange("evacuate/" + zone, core::ZoneEvacuation{ zone });
   }
-  void TakeBack(const std::string& zone)
+  void Restore(const std::string& zone)
   {
-    this->Take("evacuate/" + zone, core::RemovedItem{});
+    this->ApplyChange("evacuate/" + zone, core::RemovedItem{});
   }
-  void Take(const std::string& key, decltype(core::StoreChange::item) item)
+  void ApplyChange(const std::string& key,
+                   decltype(core::StoreChange::item) item)
   {
     this->Updater.onChange({ key, ++this->revision, std::move(item) },
                            this->now);
@@ -63,12 +64,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(EvacuatedOpeningsTest, EvacuationFixture)
 
-BOOST_AUTO_TEST_CASE(no_opening_goes_to_a_zone_until_it_is_taken_back)
+BOOST_AUTO_TEST_CASE(evacuated_zone_gets_no_opening_until_restored)
 {
   BOOST_TEST(this->CountInB(100) > 0);
   this->Evacuate("b");
   BOOST_TEST(this->CountInB(200) == 0);
-  this->TakeBack("b");
+  this->Restore("b");
   BOOST_TEST(this->CountInB(300) > 0);
   BOOST_TEST_REQUIRE(this->Reports.size() == 2U);
   BOOST_TEST(
@@ -78,7 +79,7 @@
   BOOST_TEST(this->Reports[1].zone == "b");
 }
 
-BOOST_AUTO_TEST_CASE(open_flows_stay)
+BOOST_AUTO_TEST_CASE(established_flows_stay)
 {
   std::uint16_t port = 100;
   while (!IsInB(this->openAndAnswer(++port))) {
@@ -92,7 +93,7 @@
   BOOST_TEST(this->steering.takeResets().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_repeated_opening_leaves_the_zone)
+BOOST_AUTO_TEST_CASE(retransmitted_opening_moves_out_of_the_zone)
 {
   std::uint16_t port = 100;
   while (!IsInB(backendOf(this->open(++port)))) {
@@ -106,14 +107,14 @@
   BOOST_TEST((ruleOf(repeated) == RouteReason::kReplaced));
 }
 
-BOOST_AUTO_TEST_CASE(a_back_end_that_registers_in_the_zone_gets_none)
+BOOST_AUTO_TEST_CASE(backend_registered_in_an_evacuated_zone_gets_no_opening)
 {
   this->Evacuate("b");
   this->putInZone("b", 14);
   BOOST_TEST(this->CountInB(100) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(lapsed_registrations_of_the_zone_get_none)
+BOOST_AUTO_TEST_CASE(lapsed_registrations_in_an_evacuated_zone_get_no_opening)
 {
   this->Evacuate("b");
   for (const std::uint64_t id : { 1, 2, 3, 11, 12, 13 }) {
@@ -131,7 +132,7 @@
   BOOST_TEST(placed > 0);
 }
 
-BOOST_AUTO_TEST_CASE(another_part_of_a_split_takes_over)
+BOOST_AUTO_TEST_CASE(other_service_of_a_split_takes_over)
 {
   core::RouteSet set;
   set.version = 2;
@@ -143,7 +144,7 @@
   BOOST_TEST(this->CountInB(100) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(with_all_zones_out_an_opening_is_refused_at_once)
+BOOST_AUTO_TEST_CASE(opening_is_refused_if_all_zones_are_evacuated)
 {
   this->Evacuate("a");
   this->Evacuate("b");
@@ -155,7 +156,7 @@
 
 // Its first copy may have been answered through another daemon: a reset would
 // break the flow.
-BOOST_AUTO_TEST_CASE(a_repeated_opening_is_not_refused_at_once)
+BOOST_AUTO_TEST_CASE(retransmitted_opening_is_not_refused_immediately)
 {
   this->Evacuate("a");
   this->Evacuate("b");
@@ -164,7 +165,7 @@
   BOOST_TEST((refusalOf(this->open(101, 1)) == RefuseReason::kNoBackend));
 }
 
-BOOST_AUTO_TEST_CASE(a_view_that_may_be_old_refuses_nothing)
+BOOST_AUTO_TEST_CASE(stale_view_refuses_nothing)
 {
   this->Evacuate("a");
   this->Evacuate("b");
@@ -173,7 +174,7 @@
 }
 
 // Changes of one batch may come in any order of their kinds.
-BOOST_AUTO_TEST_CASE(a_zone_that_is_out_again_at_once_stays_out)
+BOOST_AUTO_TEST_CASE(changes_in_one_update_apply_by_revision)
 {
   core::ViewUpdate update;
   update.evacuations.push_back({ "evacuate/b", 100, "b" });
--- a/tests/core/zones/zone_evacuations_test.cc
+++ b/tests/core/zones/zone_evacuations_test.cc
@@ -16,7 +16,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(ZoneEvacuationsTest, ZoneEvacuationsFixture)
 
-BOOST_AUTO_TEST_CASE(a_zone_is_out_until_its_item_is_removed)
+BOOST_AUTO_TEST_CASE(zone_is_evacuated_until_its_item_is_removed)
 {
   BOOST_TEST(!this->Zones.IsEvacuated("a"));
   BOOST_TEST(this->Zones.Put(kKey, "a", 5));
@@ -24,10 +24,10 @@
   BOOST_TEST(!this->Zones.IsEvacuated("b"));
   BOOST_TEST(this->Zones.Remove(kKey, 6));
   BOOST_TEST(!this->Zones.IsEvacuated("a"));
-  BOOST_TEST(this->Zones.Knows(kKey));
+  BOOST_TEST(this->Zones.HasSeen(kKey));
 }
 
-BOOST_AUTO_TEST_CASE(an_older_item_never_replaces_a_newer_one)
+BOOST_AUTO_TEST_CASE(older_revision_never_replaces_a_newer_one)
 {
   this->Zones.Put(kKey, "a", 5);
   BOOST_TEST(!this->Zones.Remove(kKey, 5));
@@ -40,7 +40,7 @@
   BOOST_TEST(this->Zones.IsEvacuated("a"));
 }
 
-BOOST_AUTO_TEST_CASE(a_listing_ends_what_is_older_than_it_and_not_in_it)
+BOOST_AUTO_TEST_CASE(listing_ends_older_evacuations_missing_from_it)
 {
   this->Zones.Put("evacuate/a", "a", 5);
   this->Zones.Put("evacuate/b", "b", 6);
@@ -60,7 +60,8 @@
 constexpr core::Revision kAfter{ core::StoreEra{ 2 }, 40 };
 constexpr core::Time kNow = std::chrono::seconds(100);
 
-BOOST_AUTO_TEST_CASE(a_zone_stays_out_for_a_while_where_a_copy_lacks_its_item)
+BOOST_AUTO_TEST_CASE(
+  zone_stays_evacuated_for_the_hold_time_after_a_store_restore)
 {
   this->Zones.Put(kKey, "a", kBefore);
   BOOST_TEST(this->Zones.RetainOnly({}, kAfter).size() == 1U);
@@ -68,7 +69,7 @@
   BOOST_TEST(this->Zones.IsLost(kKey));
   BOOST_TEST(this->Zones.GetContents().empty());
   BOOST_TEST(this->Zones.ExpireLost(kNow).empty());
-  const auto later = kNow + core::kEvacuationKeptFor;
+  const auto later = kNow + core::kLostEvacuationHoldTime;
   BOOST_TEST(this->Zones.ExpireLost(later - 1us).empty());
   BOOST_TEST(this->Zones.IsEvacuated("a"));
   BOOST_TEST(this->Zones.ExpireLost(later).size() == 1U);
@@ -76,7 +77,7 @@
   BOOST_TEST(this->Zones.ExpireLost(later).empty());
 }
 
-BOOST_AUTO_TEST_CASE(an_item_that_is_written_again_keeps_its_zone_out)
+BOOST_AUTO_TEST_CASE(item_written_again_keeps_the_zone_evacuated)
 {
   this->Zones.Put(kKey, "a", kBefore);
   this->Zones.Remove(kKey, kAfter);
@@ -86,7 +87,7 @@
   BOOST_TEST(this->Zones.IsEvacuated("a"));
 }
 
-BOOST_AUTO_TEST_CASE(a_zone_that_operators_take_back_after_the_return_is_back)
+BOOST_AUTO_TEST_CASE(removal_after_a_store_restore_takes_effect_immediately)
 {
   this->Zones.Put(kKey, "a", kBefore);
   this->Zones.Put(kKey, "a", kAfter);
@@ -94,7 +95,7 @@
   BOOST_TEST(!this->Zones.IsEvacuated("a"));
 }
 
-BOOST_AUTO_TEST_CASE(an_evacuation_that_was_over_before_is_not_lost)
+BOOST_AUTO_TEST_CASE(evacuation_ended_before_the_restore_is_not_lost)
 {
   this->Zones.Put(kKey, "a", { core::StoreEra{ 1 }, 45 });
   this->Zones.Remove(kKey, kBefore);
@@ -104,7 +105,7 @@
 }
 
 // Two returns in a row, before anybody could write.
-BOOST_AUTO_TEST_CASE(a_lost_evacuation_outlives_another_return)
+BOOST_AUTO_TEST_CASE(lost_evacuation_survives_a_second_store_restore)
 {
   this->Zones.Put(kKey, "a", kBefore);
   this->Zones.RetainOnly({}, kAfter);
--- a/tests/daemon/settings_test.cc
+++ b/tests/daemon/settings_test.cc
@@ -174,7 +174,7 @@
       load(std::string(kValid) + "[admission]\norder = \"off\"\nleast_share = 0.2\n");
   BOOST_REQUIRE(outcome.settings.has_value());
   BOOST_TEST(!outcome.settings->admission.Enabled);
-  BOOST_TEST(outcome.settings->admission.LeastShare == 0.2);
+  BOOST_TEST(outcome.settings->admission.ReservedShare == 0.2);
   for (const char* wrong : {"0.6", "-0.1", "nan", "5%", ""}) {
     const Outcome refused =
         load(kValid, {(std::string("--admission-least-share=") + wrong).c_str()});
--- a/tests/fuzz/fuzz_peer.cc
+++ b/tests/fuzz/fuzz_peer.cc
@@ -55,7 +55,7 @@
     relay.OnSubscription(message, now);
   }
   void take(const core::ViewUpdate& message, core::Time now) { relay.OnUpdate(message, now); }
-  void take(const core::GroupNotice& message, core::Time now) {
+  void take(const core::UnreachableGroupsNotice& message, core::Time now) {
     steering.onGroupNotice(message, now);
     steering.takeGroupProbes(now);
   }
--- a/tests/net/peer_codec_test.cc
+++ b/tests/net/peer_codec_test.cc
@@ -63,7 +63,7 @@
                                       core::OutlierReport{},
                                       core::LoadReport{},
                                       core::LoadSummary{},
-                                      core::GroupNotice{},
+                                      core::UnreachableGroupsNotice{},
                                       core::ViewPageRequest{},
                                       core::ViewPage{},
                                       ForwardedPacket{}};
@@ -118,10 +118,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(NoticesOfGroupsSurviveTheWire) {
-  const core::GroupNotice notice{{{core::ServiceId{7}, core::ZoneId{UINT32_MAX}}, {}}};
+  const core::UnreachableGroupsNotice notice{{{core::ServiceId{7}, core::ZoneId{UINT32_MAX}}, {}}};
   const auto received = codec().decode(codec().encode(notice));
   BOOST_TEST_REQUIRE(received.has_value());
-  BOOST_TEST((std::get<core::GroupNotice>(received->frame).Groups == notice.Groups));
+  BOOST_TEST((std::get<core::UnreachableGroupsNotice>(received->frame).Groups == notice.Groups));
 }
 
 BOOST_AUTO_TEST_CASE(UpdatesOfTheViewSurviveTheWire) {
--- a/tests/net/peer_transport_test.cc
+++ b/tests/net/peer_transport_test.cc
@@ -68,7 +68,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(bytes_are_counted_by_kind_of_message) {
-  transport.send({transport.localEndpoint(), transport.localEndpoint()}, core::GroupNotice{});
+  transport.send({transport.localEndpoint(), transport.localEndpoint()},
+                 core::UnreachableGroupsNotice{});
   transport.send(transport.localEndpoint(), core::ViewRequest{});
   std::uint64_t sum = 0;
   std::size_t kinds = 0;
