--- a/src/core/admission/opening_counts.cc
+++ b/src/core/admission/opening_counts.cc
@@ -112,8 +112,8 @@
   {
     std::uint32_t Rejected = 0;
     std::int64_t FirstRejectedInterval = 0;
-    std::uint32_t LaterResults = 0; ///< Results that came well after that.
-    bool ServedLater = false;       ///< One of them.
+    std::uint32_t LaterResults = 0; ///< After its queue drained.
+    bool ServedLater = false;       ///< Any of LaterResults.
   };
   std::unordered_map<BackendId, BackendHistory> histories;
   std::uint32_t results = 0;
@@ -122,7 +122,7 @@
     for (const Result& result : interval.Results) {
       BackendHistory& history = histories[result.Backend];
       ++results;
-      // What it took before its end may still be answered.
+      // Requests queued before the first rejection may still be served.
       const bool isLater = history.Rejected != 0 &&
         interval.Number - history.FirstRejectedInterval >=
           kQueueDrainIntervals;
--- a/src/core/admission/opening_counts.h
+++ b/src/core/admission/opening_counts.h
@@ -1,5 +1,6 @@
 /// @file
-/// Openings of one service in the last two seconds, and what became of them.
+/// Sliding-window counts of the connection attempts of one service and of
+/// their results.
 #pragma once
 
 #include <cstdint>
@@ -12,64 +13,63 @@
 
 namespace cobaltgauge::core {
 
-/// Counts of a span of time that ends now.
+/// Counts of the most recent intervals.
 struct OpeningStatistics
 {
-  double Seconds = 0;
+  double Seconds = 0;                      ///< Length of the time span.
   std::map<std::uint32_t, double> Offered; ///< By priority.
   std::uint32_t Served = 0;
-  std::uint32_t Rejected = 0;   ///< Turned away or reset.
-  double AdmittedPerResult = 1; ///< Openings for each result, of all steps.
+  std::uint32_t Rejected = 0;   ///< Rejected by a backend, or reset.
+  double AdmittedPerResult = 1; ///< Over the whole window.
 
   std::uint32_t CountResults() const { return this->Served + this->Rejected; }
   double CountOffered() const;
-  /// Get the rejected among the results, 0 to 1.
+  /// Returns the rejected share of the results, 0 to 1.
   double GetRejectedShare() const;
-  /// Get how many were served, also where results are lost.
+  /// Returns the number of served attempts, corrected for lost results.
   double EstimateServed() const
   {
     return this->Served * this->AdmittedPerResult;
   }
 };
 
-/// Whether back ends that reject are full, or sick: a full one goes on to
-/// serve others.
+/// Distribution of rejections over backends.  An overloaded backend rejects
+/// some attempts and serves others; a faulty one rejects all.
 struct RejectionDistribution
 {
   std::uint32_t Rejections = 0;
-  std::uint32_t ByServing = 0;  ///< By back ends that served after one.
-  double ExpectedByServing = 0; ///< Of these, if all reject alike.
+  std::uint32_t ByServing = 0;  ///< By backends that served later.
+  double ExpectedByServing = 0; ///< If rejection rates are equal.
 
   bool IndicatesOverload() const;
   bool IndicatesFaults() const;
 };
 
 /** \class OpeningCounts
- * \brief Count by steps, so that old ones fade.
+ * \brief Counts connection attempts and results in fixed intervals.
  */
 class OpeningCounts
 {
 public:
-  /// \param weight of the opening that is this service's, above 0 to 1; routes
-  /// with several services split their openings.
+  /// \param weight share of the attempt that counts for this service, above 0
+  /// and up to 1; below 1 on routes to several services.
   void OnOffered(std::uint32_t priority, double weight, Time now);
   void OnAdmitted(double weight, Time now);
   void OnResult(const OpeningResult& result, Time now);
 
-  /// Get how many results there were since the start.
+  /// Returns the number of results since the start.
   std::uint64_t CountTotalResults() const { return this->TotalResults; }
 
-  /// Forget what is older than kAdmissionWindowIntervals.
+  /// Removes intervals older than kAdmissionWindowIntervals.
   void Expire(Time now);
 
-  /// Get the counts of the last steps: at least so many steps, and as many
-  /// as give so many results.
+  /// Returns the counts of the last `minIntervals` intervals, and of as many
+  /// earlier ones as needed for `targetResults` results.
   OpeningStatistics GetStatistics(std::size_t minIntervals,
                                   std::uint32_t targetResults,
                                   Time now) const;
 
-  /// Compare the back ends that rejected with what chance would give, over
-  /// all steps.
+  /// Returns the distribution of rejections over the whole window.
   RejectionDistribution GetRejectionDistribution() const;
 
 private:
@@ -89,8 +89,8 @@
   Interval& GetInterval(Time now);
 
   std::uint64_t TotalResults = 0;
-  std::deque<Interval>
-    Intervals; ///< Oldest first; steps without openings are absent.
+  /// Oldest first, without empty intervals.
+  std::deque<Interval> Intervals;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/admission/priority_admission.cc
+++ b/src/core/admission/priority_admission.cc
@@ -9,11 +9,11 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// A rate is taken of no shorter span, in seconds.
+/// Shortest time span that a rate is calculated over.
 constexpr double kMinRateSpanSeconds =
   std::chrono::duration<double>(kAdmissionInterval).count();
 
-/// Tell whether enough openings are rejected, and not ever fewer of them.
+/// Returns whether the rejected share is high and not falling.
 bool IndicatesOverload(const AdmissionState& state)
 {
   const double share = state.Inputs.GetRejectedShare();
@@ -74,7 +74,7 @@
     service.Priorities.insert(route.priority);
     service.Counts.OnOffered(route.priority, target.weight / totalWeight, now);
     this->Update(serviceIdOf(target.service), service, now);
-    // Any part of a split may run the opening.
+    // One service with capacity is enough to admit the attempt.
     isAdmitted = isAdmitted || !service.State.IsLimited ||
       service.Bucket.TryConsume(route.priority, now);
   });
@@ -163,7 +163,8 @@
   }
   const double offered = state.Inputs.CountOffered();
   const double served = state.Inputs.EstimateServed();
-  // A share of what is offered draws daemons together that refuse unequally.
+  // A headroom proportional to the offered rate makes the refused shares of
+  // different daemons converge.
   const double headroom = std::min(kHeadroomShareOfOffered * offered,
                                    kMaxHeadroomShareOfServed * served);
   this->GrowLimit(service, headroom / (served + headroom));
@@ -185,7 +186,7 @@
     service.ResultsAtLastGrowth = service.Counts.CountTotalResults();
     return;
   }
-  // A growth shows in the results to come; no further one without them.
+  // Each increment has to show in further results before the next one.
   const std::uint64_t totalResults = service.Counts.CountTotalResults();
   if (totalResults - service.ResultsAtLastGrowth >= kMinResultsPerGrowth) {
     service.ResultsAtLastGrowth = totalResults;
@@ -219,7 +220,7 @@
     case FleetCapacity::kOverloaded:
       return !state.Distribution.IndicatesFaults();
     case FleetCapacity::kFewRejected:
-      // A limit costs more rejections than these, here and elsewhere.
+      // The headroom of a limit would cause more rejections than these.
       if (state.Recent.GetRejectedShare() < kFleetOverloadRejectedShare) {
         return false;
       }
@@ -237,7 +238,7 @@
   if (this->View == nullptr || !this->LookUpZones) {
     return FleetCapacity::kUnknown;
   }
-  // The zone with most room decides.
+  // The zone with the most spare capacity decides.
   std::optional<FleetCapacity> capacity;
   for (const ZoneId zone : this->LookUpZones(id)) {
     const std::optional<ZoneRoom> zoneRoom =
@@ -276,9 +277,9 @@
   service.LowRejectionUpdates = 0;
 }
 
-const char* ToString(FleetCapacity room)
+const char* ToString(FleetCapacity capacity)
 {
-  switch (room) {
+  switch (capacity) {
     case FleetCapacity::kUnknown:
       return "unknown";
     case FleetCapacity::kSpareCapacity:
--- a/src/core/admission/priority_admission.h
+++ b/src/core/admission/priority_admission.h
@@ -1,5 +1,5 @@
 /// @file
-/// Who opens while back ends are full: the highest rank first.  See
+/// Admission control by priority while backends are overloaded.  See
 /// docs/design/008-scarce-room.md.
 #pragma once
 
@@ -19,41 +19,43 @@
 
 namespace cobaltgauge::core {
 
-/// The share of the openings that the lowest ranks are left, unless set.
+/// Default share of admitted attempts reserved for lower priorities.
 inline constexpr double kDefaultReservedShare = 0.05;
 
 struct PriorityAdmissionOptions
 {
   bool Enabled = true;
-  /// Of what is let in, for all ranks below each; 0 to 1.
+  /// Share of admitted attempts reserved for all priorities but the highest,
+  /// 0 to 1.
   double ReservedShare = kDefaultReservedShare;
 };
 
-/// What the fleet's figures say of a service's back ends.
+/// Capacity of a service's backends according to the fleet's load statistics.
+/// The zone with the most spare capacity decides.
 enum class FleetCapacity : std::uint8_t
 {
   kUnknown,
-  kSpareCapacity, ///< In one zone at least, also while a limit holds.
-  kIdleSlots,     ///< In one zone at least: no limit begins.
-  kFewRejected,   ///< No idle slot, yet a zone that hardly rejects.
-  kOverloaded,    ///< In every zone no idle slot, and rejections.
+  kSpareCapacity, ///< Ends a limit.
+  kIdleSlots,     ///< No limit begins; one in effect remains.
+  kFewRejected,   ///< No idle slot, few rejections.
+  kOverloaded,    ///< No idle slot, many rejections.
 };
 
-/// The state of a service's limit, for logs and metrics.
+/// State of a service's limit, for logs and metrics.
 struct AdmissionState
 {
   std::string Service;
   bool IsLimited = false;
-  double AdmittedShare = 1; ///< Of the offered openings that are let in.
-  double AdmittedRate = 0;  ///< Openings that are let in.
-  double GrowthFactor = 1;  ///< By how much the limit has grown.
-  OpeningStatistics Inputs; ///< By which it was decided.
-  OpeningStatistics Recent; ///< The latest of them.
+  double AdmittedShare = 1; ///< Of the offered attempts, 0 to 1.
+  double AdmittedRate = 0;  ///< Attempts per second.
+  double GrowthFactor = 1;  ///< Multiplies the limit; at least 1.
+  OpeningStatistics Inputs; ///< Statistics the limit is based on.
+  OpeningStatistics Recent; ///< The most recent part of them.
   RejectionDistribution Distribution;
   FleetCapacity Capacity = FleetCapacity::kUnknown;
 };
 
-/// Openings of one service and rank since the start.
+/// Connection attempts of one service and priority since the start.
 struct PriorityCounters
 {
   std::uint64_t Offered = 0;
@@ -61,18 +63,18 @@
 };
 
 /** \class PriorityAdmission
- * \brief ApplyLimit a service's openings to what its back ends accept.
+ * \brief Limits a service's connection attempts to what its backends accept.
  *
- * Back ends that turn openings away are full.  What they served of late, and
- * some headroom to find more, is given to the ranks in their order; what is
- * offered beyond is refused before it costs a back end's time and its caller
- * a wait.  Each daemon decides by what it saw itself; the fleet's figures can
- * only lift a limit.
+ * Backends that reject attempts are overloaded.  Attempts are then limited to
+ * the rate served recently plus some headroom, and admitted by priority; the
+ * others are refused before they reach a backend.  Each daemon decides on its
+ * own results; the fleet's load statistics can prevent or end a limit, and
+ * reduce the rejections needed to begin one.
  */
 class PriorityAdmission : public OpeningListener
 {
 public:
-  /// Get the zones of a service's back ends that visit flows.
+  /// Returns the zones of a service's backends that accept new flows.
   using ZoneLookup = std::function<std::vector<ZoneId>(ServiceId)>;
 
   explicit PriorityAdmission(const PriorityAdmissionOptions& options)
@@ -80,31 +82,32 @@
   {
   }
 
-  /// Take effect from now on.
+  /// Replaces the options; takes effect immediately.
   void SetOptions(const PriorityAdmissionOptions& options);
 
-  /// Set the fleet's figures, which outlive this; null for none.
+  /// Sets the source of fleet load statistics, which has to outlive this
+  /// object; null for none.
   void SetCapacityView(const RoomView* view, ZoneLookup zoneLookup);
 
-  /// Decide on an opening of which no copy was sent on.
-  /// \param mayRefuse false where the view may lack back ends.
-  /// \return false where it is to be refused.
+  /// Decides on a connection attempt that has not been forwarded yet.
+  /// \param mayRefuse false if the view may lack backends.
+  /// \return false if the attempt has to be refused.
   bool Admit(const Route& route, Time now, bool mayRefuse = true);
 
-  /// Tell whether openings of a service are limited now.
+  /// Returns whether a limit on a service is in effect.
   bool IsLimited(ServiceId service) const;
 
   void OnOpeningEnded(const OpeningResult& result, Time now) override;
 
-  /// Forget services that are no longer asked for.
+  /// Removes services and limits without recent connection attempts.
   void Expire(Time now);
 
-  /// Take the limits that began, changed by much or ended since.
+  /// Returns the limits that began, changed considerably or ended since the
+  /// last call.
   std::vector<AdmissionState> TakeChanges(Time now);
 
-  /// Get the state of every service.
   std::vector<AdmissionState> GetStates() const;
-  /// Get counters by service, then by rank.
+  /// Returns counters by service, then by priority.
   const std::map<std::string, std::map<std::uint32_t, PriorityCounters>>&
   GetCounters() const
   {
@@ -116,11 +119,10 @@
   {
     AdmissionState State;
     OpeningCounts Counts;
-    std::set<std::uint32_t> Priorities; ///< That ever asked.
+    std::set<std::uint32_t> Priorities; ///< Ever seen.
     PriorityTokenBucket Bucket;
-    std::uint32_t LowRejectionUpdates = 0; ///< On end, with few rejections.
-    std::uint64_t ResultsAtLastGrowth =
-      0; ///< Results when the limit last grew.
+    std::uint32_t LowRejectionUpdates = 0;
+    std::uint64_t ResultsAtLastGrowth = 0;
     Time NextUpdate{};
     Time LastOpeningAt{};
     bool ReportedLimited = false;
@@ -128,12 +130,12 @@
     Time ReportedAt{};
   };
 
-  /// Decide on the limit again, where a step has passed.
+  /// Updates the limit once per interval.
   void Update(ServiceId id, Service& service, Time now) const;
-  /// Let the limit grow while few are rejected.
-  /// \param expectedShare rejected share that the headroom costs.
+  /// Raises the growth factor while few attempts are rejected.
+  /// \param expectedShare rejected share expected due to the headroom, 0 to 1.
   static void GrowLimit(Service& service, double expectedShare);
-  /// Tell whether rejections show that the back ends are full.
+  /// Returns whether rejections indicate overloaded backends.
   bool IsOverloaded(ServiceId id, Service& service, Time now) const;
   FleetCapacity GetFleetCapacity(ServiceId id, Time now) const;
   void ApplyLimit(Service& service, double budget, Time now) const;
@@ -146,6 +148,6 @@
   std::map<std::string, std::map<std::uint32_t, PriorityCounters>> Counters;
 };
 
-const char* ToString(FleetCapacity room);
+const char* ToString(FleetCapacity capacity);
 
 } // namespace cobaltgauge::core
--- a/src/core/admission/priority_token_bucket.h
+++ b/src/core/admission/priority_token_bucket.h
@@ -1,6 +1,5 @@
 /// @file
-/// Gives out a rate of newTokens, the highest priority first.  See
-/// docs/design/008-scarce-room.md.
+/// Token bucket with priorities.  See docs/design/008-scarce-room.md.
 #pragma once
 
 #include <cstdint>
@@ -11,41 +10,41 @@
 namespace cobaltgauge::core {
 
 /** \class PriorityTokenBucket
- * \brief A token bucket of which each lower priority leaves more untouched.
+ * \brief Rate limiter that prefers high priorities.
  *
- * Within a priority who comes first goes first.  A part of the rate is kept
- * for all but the highest priority; what they do not use goes back to the
- * others.
+ * The lower its priority, the more tokens an attempt has to leave in the
+ * bucket.  A share of the rate is reserved for all priorities but the highest;
+ * its unused tokens return to the common bucket.
  */
 class PriorityTokenBucket
 {
 public:
-  /// Start full.
+  /// Starts with a full bucket.
   void Start(Time now);
 
-  /// Set the newTokens a second from now on.
-  /// \param reservedShare of them, for all priorities but the highest.
-  /// \param priorities those that ask, the highest first.
+  /// \param rate tokens per second; one token admits one attempt.
+  /// \param reservedShare of the rate for lower priorities, 0 to 1.
+  /// \param priorities all priorities in use; lower values come first.
   void SetRate(double rate,
                double reservedShare,
                const std::set<std::uint32_t>& priorities,
                Time now);
 
-  /// \return false where the opening has to go without.
+  /// Takes a token.  \return false if the attempt has to be refused.
   bool TryConsume(std::uint32_t priority, Time now);
 
 private:
   void Refill(Time now);
-  /// Get the level from which an opening of the priority is let in.
+  /// Returns the number of tokens from which a priority is admitted.
   double GetThreshold(std::uint32_t priority) const;
   bool IsHighestPriority(std::uint32_t priority) const;
 
   double Rate = 0;
   double ReservedShare = 0;
   std::set<std::uint32_t> Priorities;
-  double Capacity = 0;
-  double Tokens = 0;         ///< In newTokens.
-  double ReservedTokens = 0; ///< The same, of the part that is kept.
+  double Capacity = 0; ///< In tokens.
+  double Tokens = 0;
+  double ReservedTokens = 0;
   Time RefilledAt{};
 };
 
--- a/src/core/domains/backend_group.h
+++ b/src/core/domains/backend_group.h
@@ -1,5 +1,6 @@
 /// @file
-/// Names back ends that may be gone together, here and between daemons.
+/// Groups of backends that may fail together, and the notice about them that
+/// daemons exchange.
 #pragma once
 
 #include <compare>
@@ -9,7 +10,7 @@
 
 namespace cobaltgauge::core {
 
-/// Back ends of one service in one zone.
+/// Backends of one service in one zone.
 struct BackendGroup
 {
   ServiceId Service{ 0 };
@@ -18,8 +19,8 @@
   auto operator<=>(const BackendGroup&) const = default;
 };
 
-/// A daemon's own probes found these groups silent.  Whoever hears it probes
-/// them as well, and believes its own probes only.
+/// Groups that are unreachable according to the sender's own probes.  The
+/// receiver probes them itself and relies only on its own results.
 struct UnreachableGroupsNotice
 {
   std::vector<BackendGroup> Groups;
--- a/src/core/domains/serving_readiness.cc
+++ b/src/core/domains/serving_readiness.cc
@@ -45,7 +45,7 @@
 void ServingReadiness::OnTick(Time now)
 {
   const Duration gap = now - std::exchange(this->LastTickAt, now);
-  // Answers and connections may wait behind timers that have run out.
+  // After a stall, expired timers may run before pending responses.
   if (gap > kServingStall) {
     this->ClearEvidence();
   }
--- a/src/core/domains/serving_readiness.h
+++ b/src/core/domains/serving_readiness.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells whether callers' openings can be served from here.  See
+/// Detects that a daemon reaches no backend.  See
 /// docs/design/011-failure-domains.md.
 #pragma once
 
@@ -14,31 +14,31 @@
 
 namespace cobaltgauge::core {
 
-/// Why a daemon came to serve, or not to.
+/// Reason for the current serving state.
 enum class ServingReason : std::uint8_t
 {
-  kInitial,     ///< No sign against it.
-  kUnreachable, ///< Several back ends silent, probes timed out, no answer.
+  kInitial,     ///< No change since the start.
+  kUnreachable, ///< Backends are unresponsive and probes timed out.
   kConnected,   ///< A probe connected.
-  kAnswered,    ///< A back end answered a caller.
-  kNoBackends,  ///< Nothing is left that could be asked.
-  kResumed,     ///< The process was suspended; what it saw means nothing.
+  kAnswered,    ///< A backend responded to a client.
+  kNoBackends,  ///< No backends are left to probe.
+  kResumed,     ///< The process was suspended; its evidence was discarded.
 };
 
 const char* ToString(ServingReason reason);
 
-/// One change, with what it rests on.
+/// A change of the serving state and the evidence for it.
 struct ServingChange
 {
   bool Serving = true;
   ServingReason Reason = ServingReason::kInitial;
-  std::size_t UnansweredBackends =
-    0;                      ///< Back ends with openings without an answer.
-  std::size_t TimedOut = 0; ///< Back ends whose probes timed out.
-  Duration UnansweredFor{}; ///< From the first of the silent openings.
+  /// Backends that left a connection attempt without a response.
+  std::size_t UnansweredBackends = 0;
+  std::size_t TimedOut = 0; ///< Backends whose probes timed out.
+  Duration UnansweredFor{}; ///< Since the first such attempt.
 };
 
-/// Counters of a ServingReadiness; see docs/METRICS.md.
+/// Counters of ServingReadiness; see docs/METRICS.md.
 struct ServingCounters
 {
   std::uint64_t StoppedServing = 0;
@@ -47,38 +47,37 @@
 };
 
 /** \class ServingReadiness
- * \brief Notice that none of the back ends with room for callers is reached.
+ * \brief Decides whether this daemon reaches any backend.
  *
- * A daemon that is cut off from all back ends holds callers' openings to no
- * end, while daemons of other zones would serve them.  It counts as not
- * serving only where several back ends are silent at once, none has answered
- * since, and connections of its own to several time out.  A refused
- * connection tells nothing: the machine is reached, and other daemons would
- * find the same.
+ * A daemon that is partitioned from all backends drops connection attempts
+ * that daemons in other zones could serve.  It stops serving if several
+ * backends are unresponsive at the same time, none has responded since, and
+ * several probe connections time out.  A refused connection is no evidence:
+ * the host is reachable, and other daemons get the same result.
  */
 class ServingReadiness
 {
 public:
-  /// Say whether back ends have to be reached at all.
+  /// Enables the check; while it is disabled, the daemon is always serving.
   void SetRequired(bool required) { this->Required = required; }
 
-  /// An opening was sent on to a back end.
+  /// Records a connection attempt that was forwarded to a backend.
   void OnOpening(BackendId backend, ServiceId service, Time now);
 
-  /// A back end that takes new flows answered a caller.
+  /// Records a response to a client by a backend that accepts new flows.
   void OnAnswer(Time now);
 
-  /// Call on every tick; a process that stood still starts anew.
+  /// To be called on every tick.  Discards evidence after a long gap.
   void OnTick(Time now);
 
-  /// Call after the process was suspended.
+  /// To be called after the process was suspended.
   void OnResume();
 
-  /// Get services of which a back end each is to be probed now, drawn; the
-  /// result goes to OnProbe().
+  /// Returns the services to probe now, at one random backend each; the
+  /// results have to be passed to OnProbe().
   std::vector<ServiceId> TakeProbes(Time now);
 
-  /// A service of TakeProbes() has no back ends.
+  /// Records that a service returned by TakeProbes() has no backends.
   void OnNoBackends(ServiceId service, Time now);
 
   void OnProbe(BackendId backend, ProbeResult result, Time now);
@@ -87,13 +86,14 @@
 
   ServingReason GetReason() const { return this->Reason; }
 
-  /// Take the changes since the last call, for logs.
+  /// Returns the changes since the last call, for logs.
   std::vector<ServingChange> TakeChanges();
 
   const ServingCounters& GetCounters() const { return this->Counters; }
 
 private:
-  /// Tell whether something has been silent for long, and nothing answered.
+  /// Returns whether to probe: while not serving, or if backends are
+  /// unresponsive.
   bool IsProbing(Time now) const;
   std::size_t CountUnanswered(Time now) const;
   void UpdateServing(Time now);
@@ -103,9 +103,9 @@
   bool Required = true;
   bool Serving = true;
   ServingReason Reason = ServingReason::kInitial;
-  std::map<BackendId, Time> Unanswered; ///< First opening since any answer.
-  std::set<BackendId> TimedOut;         ///< UnansweredFor any answer.
-  std::map<ServiceId, Time> RecentServices; ///< Last opening here.
+  std::map<BackendId, Time> Unanswered; ///< First attempt since any response.
+  std::set<BackendId> TimedOut;         ///< Since any response.
+  std::map<ServiceId, Time> RecentServices; ///< Last connection attempt.
   ServiceId LastProbedService{ 0 };
   Time NextProbeAt{};
   Time ResumedAt{};
--- a/src/core/domains/unreachable_groups.cc
+++ b/src/core/domains/unreachable_groups.cc
@@ -35,7 +35,7 @@
     return;
   }
   const GroupState& state = found->second;
-  // One that came later says nothing of those before.
+  // A backend that registered later is no evidence for the earlier ones.
   const bool isNewMember = !state.DeprioritizedMembers.empty() &&
     !state.DeprioritizedMembers.contains(backend);
   if (!isNewMember) {
--- a/src/core/domains/unreachable_groups.h
+++ b/src/core/domains/unreachable_groups.h
@@ -1,6 +1,6 @@
 /// @file
-/// Finds that all back ends of a service in one zone are gone at once, before
-/// each has cost a caller its try.  See docs/design/011-failure-domains.md.
+/// Detects that all backends of a service in one zone have failed.  See
+/// docs/design/011-failure-domains.md.
 #pragma once
 
 #include <cstdint>
@@ -15,75 +15,77 @@
 
 namespace cobaltgauge::core {
 
-/// Probes that are wanted of a group.
+/// Number of random members of a group to probe.
 struct GroupProbeRequest
 {
   BackendGroup Group;
   std::size_t Count = 0;
 };
 
-/// Counters of a UnreachableGroups; see docs/METRICS.md.
+/// Counters of UnreachableGroups; see docs/METRICS.md.
 struct UnreachableGroupCounters
 {
   std::uint64_t Detected = 0;
-  std::uint64_t Recovered = 0; ///< By a connection or an answer.
+  std::uint64_t Recovered = 0; ///< Ended by a connection or a response.
   std::uint64_t Probes = 0;
-  std::uint64_t Notices = 0; ///< Of other daemons, that were followed.
+  std::uint64_t Notices = 0; ///< Accepted from other daemons.
 };
 
 /** \class UnreachableGroups
- * \brief Put a group last of which several members take no connection.
+ * \brief Deprioritizes groups of backends that accept no connections.
  *
- * One back end that left a caller without an answer and took no connection
- * has its neighbours probed at once.  Where several distinct ones took none
- * and no member answered or took one since the first, all members known by
- * then come last, for a short time that refused probes renew.  Any answer or
- * connection of one of them ends it for all.  A back end that is full, slow or
- * cold takes connections.  This orders candidates and does nothing else.
+ * A failed probe of an unresponsive backend triggers probes of other members
+ * of its group.  If kUnconnectedForGroup distinct members fail and no member
+ * responds or accepts a connection meanwhile, all current members are
+ * deprioritized for a short time, which further failed probes extend.  A
+ * response or connection of any of them restores the group.  Overloaded, slow
+ * and warming-up backends accept connections and don't count as failed.
  */
 class UnreachableGroups : public Demotion
 {
 public:
-  /// Say whether groups are looked for at all.
+  /// Enables or disables detection.
   void SetEnabled(bool enabled);
 
   bool ComesLast(const PlacementCandidate& candidate, Time now) const override;
 
-  /// A back end answered a caller.
+  /// Records a response of a backend to a client.
   void OnAnswer(BackendId backend, const BackendGroup& group, Time now);
 
-  /// A probe of a member ended.
-  /// \return true where the group's members are to be named by
-  /// MarkUnreachable().
+  /// Records the result of a probe.
+  /// \return true if the group is unreachable; its members then have to be
+  /// passed to MarkUnreachable().
   bool OnProbe(BackendId backend,
                const BackendGroup& group,
                ProbeResult result,
                Time now);
 
-  /// Another daemon found a group silent: members are probed, no more.  Takes
-  /// few notices, so that one that lies costs few connections.
+  /// Schedules probes of a group that another daemon found unreachable.  The
+  /// rate per group is limited, so that wrong notices cause few connections.
   void OnNotice(const BackendGroup& group, Time now);
 
-  /// Put the members of a group last.
+  /// Deprioritizes the members of a group.
   void MarkUnreachable(const BackendGroup& group,
                        const std::vector<BackendId>& members,
                        Time now);
 
-  /// Get groups of which members, drawn, are to be probed now.
+  /// Returns the probes to make now.
   std::vector<GroupProbeRequest> TakeProbes(Time now);
 
-  /// Call after the process was suspended: probes may have run out unread.
+  /// To be called after the process was suspended, since probes may have timed
+  /// out meanwhile.  Discards all state.
   void OnResume();
 
-  /// Forget what no longer counts.
+  /// Removes expired state.
   void Expire(Time now);
 
-  /// Tell whether anything is known that an answer would change; cheap.
+  /// Returns whether there is no state that a response could change.
   bool IsEmpty() const { return this->Groups.empty(); }
 
+  /// Returns the number of unreachable groups.
   std::size_t CountUnreachable(Time now) const;
 
-  /// Take the groups found since the last call, for logs.
+  /// Returns the groups detected since the last call, for logs.
   std::vector<BackendGroup> TakeDetected();
 
   const UnreachableGroupCounters& GetCounters() const
@@ -94,12 +96,13 @@
 private:
   struct GroupState
   {
-    std::set<BackendId> UnreachedMembers; ///< Since any answer or connection.
-    std::set<BackendId>
-      DeprioritizedMembers; ///< That come last; none: no verdict.
-    Time ExpiresAt{};       ///< End of the verdict, or of the state.
+    /// Members with failed probes since any response or connection.
+    std::set<BackendId> UnreachedMembers;
+    /// Empty unless the group is unreachable.
+    std::set<BackendId> DeprioritizedMembers;
+    Time ExpiresAt{};
     Time NextProbeAt{};
-    std::size_t PendingProbes = 0; ///< Probes to be made at once.
+    std::size_t PendingProbes = 0; ///< To be made immediately.
   };
 
   bool Enabled = true;
--- a/src/core/warmup/warm_up_budget.cc
+++ b/src/core/warmup/warm_up_budget.cc
@@ -8,7 +8,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Map a hash to the range from 0 to 1.
+/// Maps a hash to the range from 0 to 1.
 double ToFraction(std::uint64_t hash)
 {
   return std::ldexp(static_cast<double>(hash), -64);
--- a/src/core/warmup/warm_up_budget.h
+++ b/src/core/warmup/warm_up_budget.h
@@ -1,7 +1,7 @@
 /// @file
-/// How many openings this daemonId may give back ends that are still cold, so
-/// that the wholeShare fleet together gives each of them no more than it
-/// bears. See docs/design/010-shifted-work.md.
+/// Limits this daemon's connection attempts to backends that are warming up,
+/// so that the whole fleet stays within their warm-up rate limits.  See
+/// docs/design/010-shifted-work.md.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
 namespace cobaltgauge::core {
 
 /** \class WarmUpBudget
- * \brief A share of what a cold back end bears, without a word to others.
+ * \brief This daemon's share of the rate limits of warming-up backends.
  *
- * What a back end bears is divided by the number of daemons.  A part of an
- * opening is given to daemons drawn by a hash of daemonId and back end: on the
- * mean the fleet uses the share that it is meant to use, whoever comes, goes
- * or is cut off, and without anyone knowing the others.
+ * The rate limit of a backend is divided by the number of daemons.  Fractions
+ * of an attempt are rounded up at some daemons, selected by a hash of daemon
+ * and backend, so that the fleet uses its intended share on average without
+ * coordination between daemons.
  */
 class WarmUpBudget
 {
@@ -29,21 +29,21 @@
   {
   }
 
-  /// Set how many daemons there are; too high a number is the safe side.
+  /// Sets the number of daemons; overestimating it lowers the limits.
   void SetDaemonCount(std::uint32_t daemons) { this->DaemonCount = daemons; }
 
-  /// Tell whether a cold back end may get an opening now.
-  /// \param perSecond openings a second that it bears from the wholeShare
-  /// fleet.
+  /// Returns whether a warming-up backend may get a connection attempt now.
+  /// \param perSecond its rate limit for the whole fleet, in attempts per
+  /// second.
   bool MayOpen(BackendId backend, double perSecond, Time now) const;
 
   void OnOpening(BackendId backend, Time now);
 
-  /// Forget openings that no longer count.
+  /// Removes attempts older than kWarmUpWindow.
   void Expire(Time now);
 
 private:
-  /// Get this daemonId's openings in one span of kWarmUpWindow.
+  /// Returns this daemon's limit per kWarmUpWindow.
   std::uint32_t GetLimit(BackendId backend, double perSecond) const;
 
   std::uint64_t DaemonId;
--- a/src/core/zones/zone_evacuations.cc
+++ b/src/core/zones/zone_evacuations.cc
@@ -66,7 +66,7 @@
   std::vector<std::string> ended;
   for (auto& [key, entry] : this->Entries) {
     if (entry.Active && entry.UpdatedAt <= listedAt && keys.count(key) == 0) {
-      // The removal's own revision is unknown; it is the listing's at most.
+      // The revision of the removal is unknown, but at most the listing's.
       MarkEnded(entry, listedAt);
       ended.push_back(key);
     }
--- a/src/core/zones/zone_evacuations.h
+++ b/src/core/zones/zone_evacuations.h
@@ -1,6 +1,6 @@
 /// @file
-/// Zones that operators since taken out: their back ends get no new flow until
-/// the zone is taken back.  Open flows stay.
+/// Zones evacuated by operators.  Their backends get no new flows until the
+/// zone is restored; established flows stay.
 #pragma once
 
 #include <map>
@@ -13,42 +13,44 @@
 
 namespace cobaltgauge::core {
 
-/// For so long a zone stays out whose evacuation was lost with the store's
-/// latest copy: operators write it again where it is still wanted.
+/// Time that a zone stays evacuated after its item was lost in a restore of
+/// the store, so that operators can write the item again.
 inline constexpr Duration kLostEvacuationHoldTime = std::chrono::seconds(3);
 
 /** \class ZoneEvacuations
- * \brief The evacuations in force, by the key of their item in the store.
+ * \brief Evacuations in effect, by the key of their item in the store.
  *
- * Items are ordered by revision: an older one never replaces a newer one, and
- * an evacuation that has ended is remembered for that.  There are as many
- * keys as zones, so nothing is ever forgotten.
+ * Items are ordered by revision; an older one never replaces a newer one.
+ * Ended evacuations are kept for this comparison and never removed, since
+ * there are only as many keys as zones.
  *
- * A removal of a later era than the item's may be nobody's wish: the store
- * came back from a copy without it.  The zone stays out for a while then.
+ * If an item is missing in a later store era than its own, the store may have
+ * been restored from a copy without the item.  Its zone then stays evacuated
+ * for kLostEvacuationHoldTime.
  */
 class ZoneEvacuations
 {
 public:
-  /// Take an evacuation.
-  /// \return whether it is newer than what was found of its key.
+  /// Applies an evacuation.
+  /// \return whether it is newer than the known state of its key.
   bool Put(const std::string& key, const std::string& zone, Revision revision);
 
-  /// Note that an item was removed.
-  /// \return whether that is newer than what was found of its key.
+  /// Applies the removal of an item.
+  /// \return whether it is newer than the known state of its key.
   bool Remove(const std::string& key, Revision revision);
 
-  /// Take a whole listing: evacuations that are older than it and not part of
-  /// it since ended.
-  /// \return the keys of those.
+  /// Applies a full listing: ends the evacuations that are older than it and
+  /// not part of it.
+  /// \return the keys of the ended evacuations.
   std::vector<std::string> RetainOnly(const std::set<std::string>& keys,
                                       Revision listedAt);
 
-  /// MarkEnded evacuations that were lost and since not been written again.
-  /// \return the keys of those that are expired.
+  /// Ends lost evacuations that were not written again within
+  /// kLostEvacuationHoldTime.
+  /// \return the keys of the ended evacuations.
   std::vector<std::string> ExpireLost(Time now);
 
-  /// Tell whether the item was lost and its zone is still kept out.
+  /// Returns whether the item was lost and its zone is still evacuated.
   bool IsLost(const std::string& key) const;
 
   bool IsEvacuated(const std::string& zone) const
@@ -56,22 +58,21 @@
     return this->Zones.count(zone) != 0;
   }
 
-  /// Tell whether an item of this key was ever taken.
+  /// Returns whether an item with this key was ever applied.
   bool HasSeen(const std::string& key) const
   {
     return this->Entries.count(key) != 0;
   }
 
-  /// Get the zone of an item that was ever taken; empty for others.
+  /// Returns the zone of an item that was ever applied, or an empty string.
   std::string GetZone(const std::string& key) const;
 
-  /// Get the zones that are out.
   const std::set<std::string>& GetZones() const { return this->Zones; }
 
-  /// Get what began or ended after `since`, as items and removals.
+  /// Returns the changes after a revision, as items and removals.
   std::vector<StoreChange> GetChangesSince(Revision since) const;
 
-  /// Get every evacuation in force, as an item.
+  /// Returns all evacuations in effect, as items.
   std::vector<StoreChange> GetContents() const;
 
 private:
@@ -80,13 +81,13 @@
     std::string Zone;
     Revision UpdatedAt = 0;
     bool Active = true;
-    bool Lost = false; ///< Not in force, and its zone is out all the same.
-    Time LostAt{};     ///< Zero until ExpireLost() has seen it.
+    bool Lost = false; ///< Not active, but its zone is still evacuated.
+    Time LostAt{};     ///< Zero until the next ExpireLost().
   };
 
   static void MarkEnded(Entry& entry, Revision at);
 
-  /// Collect the zones anew; several keys may name one.
+  /// Recalculates Zones; several keys may name the same zone.
   void RebuildZones();
 
   std::map<std::string, Entry> Entries;
--- a/tests/core/admission/overload_simulation.h
+++ b/tests/core/admission/overload_simulation.h
@@ -1,6 +1,6 @@
 /// @file
-/// Clients with three tries, daemons with an admission each, and back ends
-/// with slots and a bounded queue; in virtual time.
+/// Simulation of clients that retry, daemons with admission control, and
+/// backends with slots and a bounded queue, in virtual time.
 #pragma once
 
 #include <algorithm>
@@ -21,23 +21,24 @@
 {
   int Clients = 0;
   int Served = 0;
-  int Refused = 0; ///< Tries.
+  int Refused = 0; ///< Attempts.
 };
 
 class OverloadSimulation : public core::RoomView
 {
 public:
   static constexpr std::size_t kSlots = 2;
-  static constexpr std::size_t kMaxInFlight = 10; ///< Slots and queue.
+  /// Per backend, including its queue.
+  static constexpr std::size_t kMaxInFlight = 10;
   static constexpr core::Duration kServiceTime = 30ms;
   static constexpr core::Duration kRejectionDelay = 120ms;
   static constexpr int kMaxAttempts = 3;
   static constexpr core::Duration kStatisticsInterval = 100ms;
 
   core::Time Now = 100s;
-  std::size_t FaultyBackends = 0;   ///< Back ends that reject everything.
-  double LostResultShare = 0;       ///< Of results, never heard of.
-  core::Duration ResultDelay = 0ms; ///< All results.
+  std::size_t FaultyBackends = 0;   ///< The first ones; reject all attempts.
+  double LostResultShare = 0;       ///< 0 to 1.
+  core::Duration ResultDelay = 0ms; ///< Of every result.
   core::Duration StatisticsAge = 500ms;
   int Rejections = 0;
   std::map<std::uint32_t, ClientTally> Tally;
@@ -53,7 +54,7 @@
   {
   }
 
-  /// Tell every daemon the fleet's figures, StatisticsAge old.
+  /// Gives every daemon fleet statistics of age StatisticsAge.
   void UseFleetStatistics()
   {
     for (core::PriorityAdmission& daemon : this->Daemons) {
@@ -78,7 +79,7 @@
 
   void SetBackends(std::size_t count) { this->FinishTimes.resize(count); }
 
-  /// What back ends can serve in a second.
+  /// Returns the attempts per second that the backends can serve.
   double GetCapacity() const
   {
     return static_cast<double>(
@@ -86,7 +87,8 @@
       std::chrono::duration<double>(kServiceTime).count();
   }
 
-  /// Let clients come, so many a second of each priority; tallies begin anew.
+  /// Resets the tallies and simulates clients.
+  /// \param rates new clients per second, by priority.
   void Run(core::Duration span, const std::map<std::uint32_t, double>& rates)
   {
     this->Tally.clear();
@@ -138,10 +140,10 @@
   {
     core::Time At{};
     std::uint32_t Priority = 0;
-    int Attempt = 0; ///< That ended; zero: only the daemon hears of it.
+    int Attempt = 0; ///< From 1; zero: delayed result only.
     std::size_t Daemon = 0;
     core::OpeningResult Result;
-    bool SentToBackend = false; ///< Sent on, so that the daemon hears of it.
+    bool SentToBackend = false; ///< Not refused by the daemon.
 
     bool operator<(const Event& other) const { return this->At > other.At; }
   };
@@ -249,7 +251,7 @@
     this->Events.push(event);
   }
 
-  std::vector<std::deque<core::Time>> FinishTimes; ///< By back end, in order.
+  std::vector<std::deque<core::Time>> FinishTimes; ///< By backend, ascending.
   int Sent = 0;
   int PublishedSent = 0;
   int PublishedRejections = 0;
--- a/tests/core/admission/priority_admission_test.cc
+++ b/tests/core/admission/priority_admission_test.cc
@@ -13,7 +13,7 @@
 constexpr std::uint32_t kHighPriority = 1;
 constexpr std::uint32_t kLowPriority = 2;
 
-/// Room as the fleet tells it.
+/// Fleet statistics set by the test.
 class FixedStatistics : public core::RoomView
 {
 public:
@@ -26,7 +26,7 @@
   }
 };
 
-/// High clients for so much of the capacity, low ones for the rest.
+/// Returns client rates for fractions of the total capacity.
 std::map<std::uint32_t, double> MakeLoad(const OverloadSimulation& simulation,
                                          double high,
                                          double low)
@@ -38,8 +38,8 @@
 
 BOOST_AUTO_TEST_SUITE(PriorityAdmissionTest)
 
-// A day on which three fifths of the back ends left: 1.1 to 1.8 times what
-// the rest bears was asked for, and replies fared like profile cards.
+// Guards against overload affecting all priorities alike, and against a limit
+// that leaves capacity unused.
 BOOST_AUTO_TEST_CASE(higher_priority_is_served_at_full_utilization)
 {
   for (const double low : { 0.6, 0.8, 1.3, 2.5 }) {
@@ -49,7 +49,7 @@
     unlimited.Run(1s, MakeLoad(simulation, 0.5, low));
     simulation.Run(6s, MakeLoad(simulation, 0.5, low));
     unlimited.Run(6s, MakeLoad(simulation, 0.5, low));
-    BOOST_TEST_CONTEXT("low priority wants " << low << " of the capacity")
+    BOOST_TEST_CONTEXT("low priority offers " << low << " of the capacity")
     {
       BOOST_TEST(simulation.ServedShare(kHighPriority) >= 0.97);
       BOOST_TEST(simulation.CountServed() >= 0.98 * unlimited.CountServed());
@@ -60,7 +60,7 @@
 
 BOOST_AUTO_TEST_CASE(nothing_is_refused_below_capacity)
 {
-  BOOST_TEST(rc::check("no refusal while there is room", [] {
+  BOOST_TEST(rc::check("no refusal below capacity", [] {
     const auto daemons = *rc::gen::inRange<std::size_t>(1, 100);
     const auto seed = *rc::gen::inRange<std::uint64_t>(1, 1000);
     const double load = *rc::gen::inRange(1, 85) / 100.0;
@@ -83,7 +83,7 @@
     simulation.Run(2s, MakeLoad(simulation, high, low));
     unlimited.Run(1s, MakeLoad(simulation, high, low));
     unlimited.Run(2s, MakeLoad(simulation, high, low));
-    // Chance moves shares of some hundred clients by a few in a hundred.
+    // Tolerance for random variation with a few hundred clients.
     RC_ASSERT(simulation.ServedShare(kHighPriority) >=
               simulation.ServedShare(kLowPriority) - 0.05);
     RC_ASSERT(simulation.ServedShare(kHighPriority) >=
@@ -99,7 +99,7 @@
     simulation.Run(5s, MakeLoad(simulation, 2.0, 1.0));
     const double share = simulation.Tally[kLowPriority].Served /
       std::max<double>(simulation.CountServed(), 1);
-    BOOST_TEST_CONTEXT("least share " << reservedShare << ", got " << share)
+    BOOST_TEST_CONTEXT("reserved share " << reservedShare << ", got " << share)
     {
       BOOST_TEST(share >= 0.8 * reservedShare);
       BOOST_TEST(share <= 1.2 * reservedShare + 0.02);
@@ -114,11 +114,11 @@
     {
       OverloadSimulation simulation(daemons, 48);
       if (daemons > 8) {
-        simulation.UseFleetStatistics(); // With few samples it takes the
-                                         // fleet's figures.
+        // Each daemon has too few samples of its own.
+        simulation.UseFleetStatistics();
       }
       const auto load = MakeLoad(simulation, 0.3, 0.6);
-      // With some twenty results a second it takes longer.
+      // Fewer results per daemon need more time.
       const core::Duration settlingTime = daemons > 8 ? 3s : 1500ms;
       simulation.Run(2s, load);
       BOOST_TEST(simulation.CountRefused() == 0);
@@ -133,7 +133,7 @@
       simulation.SetBackends(48);
       simulation.Run(settlingTime, load);
       simulation.Run(2s, load);
-      // Of these back ends one in fifty openings is rejected by chance.
+      // Random placement still causes a few rejections.
       BOOST_TEST(simulation.CountRefused() <= simulation.CountServed() / 1000);
       BOOST_TEST(simulation.ServedShare(kLowPriority) >= 0.99);
     }
@@ -197,7 +197,7 @@
 {
   OverloadSimulation simulation(8, 24);
   simulation.Run(3s, MakeLoad(simulation, 0.5, 1.5));
-  simulation.Run(500ms, MakeLoad(simulation, 0.3, 0.3)); // Queues drain.
+  simulation.Run(500ms, MakeLoad(simulation, 0.3, 0.3)); // Drains the queues.
   simulation.Run(3s, MakeLoad(simulation, 0.3, 0.3));
   BOOST_TEST(simulation.CountRefused() == 0);
 }
@@ -222,7 +222,7 @@
   BOOST_TEST(simulation.CountRefused() > 0);
 }
 
-// Three hundred daemons hear of some ten openings a second each.
+// Each daemon sees only about ten attempts per second.
 BOOST_AUTO_TEST_CASE(many_daemons_with_few_samples_keep_utilization)
 {
   OverloadSimulation simulation(300, 48);
--- a/tests/core/admission/refused_openings_test.cc
+++ b/tests/core/admission/refused_openings_test.cc
@@ -9,7 +9,7 @@
 
 using core::RefuseReason;
 
-/// Three back ends that are full, and two routes of different rank.
+/// Three overloaded backends and two routes of different priorities.
 struct OverloadFixture : TokenFixture
 {
   core::PriorityAdmission Admission{ {} };
@@ -38,7 +38,7 @@
     return this->steering.onPacket(summary, this->now);
   }
 
-  /// Half of the openings are turned away, by every back end.
+  /// Reports a result; every backend rejects half of its attempts.
   void FinishOpening(std::uint16_t port)
   {
     core::OpeningResult result;
@@ -49,7 +49,7 @@
     this->Admission.OnOpeningEnded(result, this->now);
   }
 
-  /// Open until one is refused. \return its port, or zero.
+  /// Opens flows until one is refused.  \return its port, or zero.
   std::uint16_t FindRefused(std::uint32_t copy)
   {
     for (std::uint16_t port = 1000; port < 1100; ++port) {
--- a/tests/core/domains/failed_group_test.cc
+++ b/tests/core/domains/failed_group_test.cc
@@ -1,4 +1,4 @@
-/// Openings while all back ends of a zone are gone at once.
+/// Placement of connection attempts after all backends of a zone failed.
 #include <algorithm>
 
 #include "core/constants.h"
@@ -11,8 +11,8 @@
 using core::BackendId;
 using core::ProbeResult;
 
-/// Back ends 11 to 50 are of zone "near", 61 to 80 of zone "far"; the policy
-/// is that of equal weights.
+/// Backends 11 to 50 are in zone "near", 61 to 80 in zone "far"; all have
+/// equal weights.
 struct FailedGroupFixture : TokenFixture
 {
   FailedGroupFixture()
@@ -33,8 +33,8 @@
     return static_cast<std::uint64_t>(backend) <= 50;
   }
 
-  /// Let callers open each 20 ms; those at "near" get no answer.
-  /// \return openings that went there.
+  /// Opens a flow every 20 ms; "near" does not respond.
+  /// \return the number of attempts sent to "near".
   int Open(core::Duration during, ProbeResult near)
   {
     int lost = 0;
@@ -74,7 +74,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(FailedGroupTest, FailedGroupFixture)
 
-// Without a group each of the forty costs a caller its try.
+// Guards against one lost attempt per failed backend.
 BOOST_AUTO_TEST_CASE(failed_group_loses_few_openings)
 {
   BOOST_TEST(this->Open(3s, ProbeResult::kRefused) <= 10);
@@ -87,7 +87,7 @@
   BOOST_TEST(this->Open(3s, ProbeResult::kRefused) >= 30);
 }
 
-// They take connections, so it is not their death that leaves callers alone.
+// Accepted connections show that the backends have not failed.
 BOOST_AUTO_TEST_CASE(backends_that_accept_connections_are_not_deprioritized)
 {
   this->Open(3s, ProbeResult::kConnected);
@@ -102,7 +102,7 @@
   BOOST_TEST(this->steering.silentGroups().CountUnreachable(this->now) == 0U);
 }
 
-// The last candidates are used, whatever is believed of them.
+// Deprioritized candidates are used if there are no others.
 BOOST_AUTO_TEST_CASE(openings_are_placed_when_all_groups_are_unreachable)
 {
   this->Open(3s, ProbeResult::kRefused);
--- a/tests/core/domains/partitioned_zone_test.cc
+++ b/tests/core/domains/partitioned_zone_test.cc
@@ -1,4 +1,4 @@
-/// A daemon in a zone that is cut off, with its steering.
+/// Steering of a daemon in a zone that is partitioned from the others.
 #include "core/constants.h"
 #include "core/token_steering.h"
 #include "support/token_fixtures.h"
@@ -9,7 +9,7 @@
 using core::BackendId;
 using core::ProbeResult;
 
-/// Back ends 1 to 8 are of zone "far"; "near" is the daemon's own.
+/// Backends 1 to 8 are in zone "far", 9 to 12 in the daemon's zone "near".
 struct PartitionedZoneFixture : TokenFixture
 {
   PartitionedZoneFixture()
@@ -35,7 +35,7 @@
 
   bool IsServing() const { return this->steering.serving().IsServing(); }
 
-  /// Let a caller open each 50 ms while "far" is not reached.
+  /// Opens a flow every 50 ms while "far" is unreachable.
   void OpenWhilePartitioned(core::Duration during)
   {
     for (const core::Time end = this->now + during; this->now < end;) {
@@ -92,7 +92,7 @@
   BOOST_TEST(this->IsServing());
 }
 
-// Flows that were open before stay with their back ends, which are reached.
+// Established flows keep their backends, which are still reachable.
 BOOST_AUTO_TEST_CASE(answers_on_flows_of_an_evacuated_zone_do_not_count)
 {
   BackendId backend = core::kNoBackend;
@@ -105,13 +105,13 @@
   for (int turn = 0; turn < 10; ++turn) {
     this->OpenWhilePartitioned(200ms);
     const core::Verdict verdict = this->send(oldPort, backend, ++bytes, 0);
-    // Out or in, an open flow is forwarded.
+    // Forwarded whether the daemon is serving or not.
     BOOST_TEST((this->backendOf(verdict) == backend));
   }
   BOOST_TEST(!this->IsServing());
 }
 
-// Its callers' flows may have been opened at other daemons meanwhile.
+// The flows may have been opened at other daemons meanwhile.
 BOOST_AUTO_TEST_CASE(after_recovery_flows_of_live_backends_are_forwarded)
 {
   this->EvacuateNear();
@@ -138,7 +138,7 @@
   BOOST_TEST(this->steering.takeResets().empty());
 }
 
-// It has no say in what reaches it, where most of its zone is out.
+// Routers may still send it flows if most daemons of the zone are out.
 BOOST_AUTO_TEST_CASE(daemon_that_is_not_serving_still_forwards_openings)
 {
   this->EvacuateNear();
@@ -147,7 +147,7 @@
   BOOST_TEST(IsFar(this->backendOf(this->open(++this->Port))));
 }
 
-// The store is on this side of the cut: the others' registrations lapse.
+// If the store is in this partition, registrations of the others expire.
 BOOST_AUTO_TEST_CASE(daemon_without_any_registered_backend_is_serving)
 {
   this->EvacuateNear();
--- a/tests/core/domains/serving_readiness_test.cc
+++ b/tests/core/domains/serving_readiness_test.cc
@@ -16,13 +16,12 @@
 constexpr ServiceId kFirst{ 1 };
 constexpr ServiceId kSecond{ 2 };
 
-/// A daemon whose connections end as the test says.
+/// A daemon whose probe results are set by the test.
 struct ReadinessFixture
 {
   core::ServingReadiness Readiness;
   core::Time Now = 100s;
-  std::uint64_t LastProbedBackend =
-    1000; ///< Of the back end that was probed last.
+  std::uint64_t LastProbedBackend = 1000;
   core::Time NextOpening{};
   std::size_t Opened = 0;
 
@@ -42,8 +41,8 @@
     return due.size();
   }
 
-  /// Let callers open each 50 ms, to a back end each.
-  /// \return the probes that were made.
+  /// Opens a flow every 50 ms, each to a different backend.
+  /// \return the number of probes made.
   std::size_t Open(core::Duration during,
                    ProbeResult result,
                    ServiceId service = kFirst)
@@ -96,7 +95,7 @@
   BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 0U);
 }
 
-// All back ends of one service are dead, and callers want no other just now.
+// All backends of one service have failed; only this service has clients.
 BOOST_AUTO_TEST_CASE(failed_service_does_not_matter_while_another_connects)
 {
   this->Readiness.OnOpening(BackendId{ 500 }, kSecond, this->Now);
@@ -117,7 +116,7 @@
   BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 0U);
 }
 
-// Machines that refuse are reached; other daemons would find the same.
+// Hosts that refuse connections are reachable.
 BOOST_AUTO_TEST_CASE(refused_connections_do_not_stop_serving)
 {
   BOOST_TEST(this->Open(5s, ProbeResult::kRefused) > 0U);
@@ -150,7 +149,7 @@
   BOOST_TEST(this->Readiness.IsServing());
 }
 
-// Without callers it goes on to probe, for as long as it takes.
+// Probing has to continue without clients.
 BOOST_AUTO_TEST_CASE(probes_periodically_while_not_serving)
 {
   this->StopServing();
@@ -173,7 +172,7 @@
                connects ? ProbeResult::kConnected : ProbeResult::kTimedOut);
     changes += static_cast<int>(this->Readiness.TakeChanges().size());
   }
-  // 20 s with a connection each second: out at most once in two.
+  // In 20 s with a connection every second, at most one outage every 2 s.
   BOOST_TEST(changes > 2);
   BOOST_TEST(changes <= 2 * 10);
 }
@@ -210,7 +209,7 @@
   BOOST_TEST(!this->Readiness.IsServing());
 }
 
-// Each daemon goes by what it sees: another one's trouble is not its own.
+// Evidence is local to a daemon.
 BOOST_AUTO_TEST_CASE(state_of_one_daemon_does_not_affect_another)
 {
   core::ServingReadiness otherDaemon;
--- a/tests/core/domains/unreachable_groups_test.cc
+++ b/tests/core/domains/unreachable_groups_test.cc
@@ -33,7 +33,7 @@
   return candidate;
 }
 
-/// One daemon; back ends 1 to 40 are one group.
+/// One daemon; backends 1 to 40 are one group.
 struct GroupsFixture
 {
   core::UnreachableGroups Groups;
@@ -50,7 +50,7 @@
     }
   }
 
-  /// Make the probes that are due, of members from `first` on.
+  /// Makes the due probes, starting with member `first`.
   std::size_t Probe(std::uint64_t first, ProbeResult result)
   {
     std::size_t probes = 0;
@@ -97,7 +97,7 @@
   BOOST_TEST(this->Groups.IsEmpty());
 }
 
-// A full back end turns callers away, and takes connections.
+// Overloaded backends reject clients but accept connections.
 BOOST_AUTO_TEST_CASE(overloaded_backends_are_not_unreachable)
 {
   for (std::uint64_t id = 1; id <= kMembers; ++id) {
@@ -165,7 +165,7 @@
   BOOST_TEST(this->ComesLast(40));
 }
 
-// A daemon that lies, or hears late what is over, moves no opening.
+// Wrong or late notices do not affect placement.
 BOOST_AUTO_TEST_CASE(wrong_notices_cause_few_probes)
 {
   std::size_t probes = 0;
@@ -178,7 +178,8 @@
   BOOST_TEST(probes <= 10 * core::kUnconnectedForGroup);
 }
 
-/// Daemons in a ring that tell each other what they found.
+/// Returns whether daemons that notify each other in a ring discard all state
+/// after the backends have recovered.
 bool ExpiresInRing(const std::vector<int>& failures)
 {
   std::array<GroupsFixture, 5> ring;
@@ -200,7 +201,7 @@
       .OnProbe(static_cast<std::uint64_t>(failure) + 1, ProbeResult::kRefused);
     step(ProbeResult::kRefused);
   }
-  // All are back; nobody is told.
+  // All backends recover, without a notice.
   for (int turn = 0; turn < 2s / 50ms; ++turn) {
     step(ProbeResult::kConnected);
   }
@@ -212,7 +213,7 @@
 
 BOOST_AUTO_TEST_CASE(notices_do_not_sustain_each_other)
 {
-  BOOST_TEST(rc::check("a ring forgets", [] {
+  BOOST_TEST(rc::check("a ring discards recovered groups", [] {
     RC_ASSERT(ExpiresInRing(*rc::gen::container<std::vector<int>>(
       rc::gen::inRange(0, static_cast<int>(kMembers)))));
   }));
@@ -227,7 +228,7 @@
 
 BOOST_AUTO_TEST_CASE(state_expires_without_new_evidence)
 {
-  const bool expires = rc::check("expires without news", [] {
+  const bool expires = rc::check("state expires without new evidence", [] {
     GroupsFixture daemon;
     const auto steps = *rc::gen::container<std::vector<int>>(
       rc::gen::inRange(0, static_cast<int>(4 * kMembers)));
--- a/tests/core/warmup/warm_up_budget_test.cc
+++ b/tests/core/warmup/warm_up_budget_test.cc
@@ -12,17 +12,17 @@
 
 using namespace std::chrono_literals;
 
-/// The users' rule: a cold back end gets at max this many openings in any
-/// second, by what it bears.
+/// Requirement: in any kRateWindow, a warming-up backend gets at most its rate
+/// limit times kMaxRateFactor, plus kMaxExcessOpenings.
 constexpr double kMaxRateFactor = 1.5;
 constexpr double kMaxExcessOpenings = 5;
 constexpr core::Duration kRateWindow = 1s;
 
-/// Daemons that each want to give every cold back end count that they can.
+/// Daemons that send every warming-up backend as many attempts as allowed.
 struct WarmingFleet
 {
   std::vector<core::WarmUpBudget> Daemons;
-  std::vector<std::vector<core::Time>> Openings; ///< By back end.
+  std::vector<std::vector<core::Time>> Openings; ///< By backend.
 
   WarmingFleet(std::uint32_t daemons,
                std::uint32_t assumedDaemons,
@@ -53,7 +53,7 @@
     }
   }
 
-  /// \return the max openings that one back end got in one second.
+  /// \return the maximum number of attempts at one backend in a kRateWindow.
   std::size_t MaxInOneWindow() const
   {
     std::size_t max = 0;
@@ -89,7 +89,7 @@
         perSecond * kMaxRateFactor + kMaxExcessOpenings;
       BOOST_TEST(static_cast<double>(fleet.MaxInOneWindow()) <= maxOpenings,
                  daemons << " daemons, " << perSecond << " a second");
-      // Of 40 back ends together, in three windows; few are left to chance.
+      // For 40 backends and three windows, with a tolerance for randomness.
       const double expected = perSecond * core::kWarmUpShare * 40 * 3;
       BOOST_TEST(static_cast<double>(fleet.CountOpenings()) >
                    (expected - 20) * 0.5,
@@ -98,7 +98,7 @@
   }
 }
 
-// Two halves that never heard of each other.
+// Two partitions of the fleet that do not know of each other.
 BOOST_AUTO_TEST_CASE(fleet_that_undercounts_by_half_stays_within_the_rate)
 {
   for (const std::uint32_t daemons : { 20U, 74U, 295U }) {
--- a/tests/core/warmup/warm_up_openings_test.cc
+++ b/tests/core/warmup/warm_up_openings_test.cc
@@ -1,4 +1,4 @@
-/// Where openings go while back ends are cold that bear only few.
+/// Placement of connection attempts while backends are warming up.
 #include "core/constants.h"
 #include "core/token_steering.h"
 #include "support/token_fixtures.h"
@@ -10,8 +10,8 @@
 using core::DropReason;
 using core::RefuseReason;
 
-/// One daemon that is all there is; cold back ends bear six openings a second,
-/// and two are what it means to use.
+/// A fleet of one daemon, which uses a third of the warm-up rate limit: two of
+/// six attempts per second.
 struct WarmUpFixture : TokenFixture
 {
   static constexpr double kWarmUpRate = 6;
@@ -36,7 +36,7 @@
     this->putBackend(id, registration);
   }
 
-  /// Count openings within a second that go to the back end with number 4.
+  /// Returns how many of the attempts of one second go to backend 4.
   int CountAtBackend4(std::uint16_t firstPort)
   {
     int count = 0;
@@ -52,7 +52,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(WarmUpOpeningsTest, WarmUpFixture)
 
-// It had the fewest open flows, so every daemon chose it at once.
+// Guards against all daemons choosing a new backend for its few open flows.
 BOOST_AUTO_TEST_CASE(warming_backend_gets_at_most_its_rate)
 {
   this->PutWarmingUp(4);
@@ -88,8 +88,7 @@
     this->open(201, core::kLastOpeningCopy)));
 }
 
-// 32 back ends are drawn to be compared; none of them may be the one that is
-// warm.
+// The random sample of candidates may not contain the only warm backend.
 BOOST_AUTO_TEST_CASE(single_warm_backend_of_many_is_found)
 {
   for (std::uint8_t id = 1; id <= 100; ++id) {
--- a/tests/core/zones/allowed_regions_test.cc
+++ b/tests/core/zones/allowed_regions_test.cc
@@ -1,4 +1,4 @@
-/// Routes that name the regions of their back ends.
+/// Routes that restrict the regions of their backends.
 #include <set>
 
 #include "core/token_steering.h"
@@ -10,8 +10,8 @@
 using core::BackendId;
 using core::DropReason;
 
-/// Back ends 1 to 3 of "web" in zone "a", 4 in "b", 5 in a zone that the
-/// settings do not name.
+/// Backends 1 to 3 of "web" are in zone "a", 4 in "b", and 5 in a zone without
+/// a configured region.
 struct RegionsFixture : TokenFixture
 {
   RegionsFixture()
@@ -52,7 +52,7 @@
 {
   this->Allow(2, { "south" });
   BOOST_TEST((this->GetUsedBackends(100) == std::set{ BackendId{ 4 } }));
-  // The one in the south has 40 flows by now.
+  // Backend 4 already has 40 flows.
   this->Allow(3, { "north", "south" });
   BOOST_TEST((this->GetUsedBackends(200) ==
               std::set{ BackendId{ 1 }, BackendId{ 2 }, BackendId{ 3 } }));
--- a/tests/core/zones/evacuated_openings_test.cc
+++ b/tests/core/zones/evacuated_openings_test.cc
@@ -1,4 +1,4 @@
-/// Every way that an opening takes, while operators have taken zones out.
+/// Placement of connection attempts while zones are evacuated.
 #include "core/constants.h"
 #include "core/token_steering.h"
 #include "core/view_conversion.h"
@@ -13,7 +13,7 @@
 using core::RefuseReason;
 using core::RouteReason;
 
-/// Back ends 1 to 3 of "web" in zone "a", and 11 to 13 in zone "b".
+/// Backends 1 to 3 of "web" are in zone "a", 11 to 13 in zone "b".
 struct EvacuationFixture : TokenFixture
 {
   core::ViewUpdater Updater{ this->steering.backends(),
@@ -50,7 +50,7 @@
     return static_cast<std::uint64_t>(id) > 10;
   }
 
-  /// Count openings of 60 that go to zone "b".
+  /// Returns how many of 60 attempts go to zone "b".
   int CountInB(std::uint16_t firstPort)
   {
     int count = 0;
@@ -100,7 +100,7 @@
     this->now += 100ms;
   }
   this->Evacuate("b");
-  // Not long enough for the first back end to be suspected.
+  // Too short for the first backend to be suspected.
   this->now += 100ms;
   const core::Verdict repeated = this->open(port, 1);
   BOOST_TEST(!IsInB(backendOf(repeated)));
@@ -154,8 +154,8 @@
               core::RefusalCertainty::kNotRun));
 }
 
-// Its first copy may have been answered through another daemon: a reset would
-// break the flow.
+// Another daemon may have forwarded the first transmission; a reset would
+// break that flow.
 BOOST_AUTO_TEST_CASE(retransmitted_opening_is_not_refused_immediately)
 {
   this->Evacuate("a");
@@ -173,7 +173,7 @@
   BOOST_TEST((dropOf(this->open(100)) == DropReason::kStaleView));
 }
 
-// Changes of one batch may come in any order of their kinds.
+// An update groups its changes by kind, not by revision.
 BOOST_AUTO_TEST_CASE(changes_in_one_update_apply_by_revision)
 {
   core::ViewUpdate update;
--- a/tests/core/zones/zone_evacuations_test.cc
+++ b/tests/core/zones/zone_evacuations_test.cc
@@ -55,7 +55,7 @@
   BOOST_TEST(this->Zones.GetContents().size() == 2U);
 }
 
-/// Places before and after the store came back from an older copy.
+/// Revisions before and after the store was restored from an older copy.
 constexpr core::Revision kBefore{ core::StoreEra{ 1 }, 46 };
 constexpr core::Revision kAfter{ core::StoreEra{ 2 }, 40 };
 constexpr core::Time kNow = std::chrono::seconds(100);
@@ -104,7 +104,7 @@
   BOOST_TEST(!this->Zones.IsLost(kKey));
 }
 
-// Two returns in a row, before anybody could write.
+// Two restores in a row without a write in between.
 BOOST_AUTO_TEST_CASE(lost_evacuation_survives_a_second_store_restore)
 {
   this->Zones.Put(kKey, "a", kBefore);
