--- a/src/core/backend_candidates.cc
+++ b/src/core/backend_candidates.cc
@@ -122,8 +122,8 @@
 std::vector<PlacementCandidate> BackendRegistry::lapsedSince(ServiceId service, Time since) {
   std::vector<PlacementCandidate> vanished = vanishedSince(service, since);
   const std::size_t all = vanished.size() + candidates(service).size();
-  const bool isMany = vanished.size() > 1 && vanished.size() * kBackendsPerLapse > all;
-  return isMany ? vanished : std::vector<PlacementCandidate>{};
+  const bool isMassExpiry = vanished.size() > 1 && vanished.size() * kMassExpiryRatio > all;
+  return isMassExpiry ? vanished : std::vector<PlacementCandidate>{};
 }
 
 std::size_t BackendRegistry::activeCount() const {
--- a/src/core/backend_directory.cc
+++ b/src/core/backend_directory.cc
@@ -63,7 +63,7 @@
   return it == entries_.end() || it->second.leaving;
 }
 
-std::vector<BackendId> BackendDirectory::forgetOld(Time now, Duration keep) {
+std::vector<BackendId> BackendDirectory::removeExpired(Time now, Duration keep) {
   std::vector<BackendId> forgotten;
   for (const auto& [id, entry] : entries_) {
     if (!entry.configured && now - entry.removedAt > keep) {
--- a/src/core/backend_directory.h
+++ b/src/core/backend_directory.h
@@ -30,7 +30,7 @@
 
   /// Forgets back ends that left the configuration longer ago than `keep`.
   /// @return the forgotten back ends.
-  std::vector<BackendId> forgetOld(Time now, Duration keep);
+  std::vector<BackendId> removeExpired(Time now, Duration keep);
 
  private:
   struct Entry {
--- a/src/core/backend_health.cc
+++ b/src/core/backend_health.cc
@@ -4,136 +4,137 @@
 
 namespace cobaltgauge::core {
 
-void BackendHealth::ask(BackendId backend, Time since, Time now) {
-  Signs& signs = signs_[backend];
-  signs.lastSign = now;
-  if (signs.unansweredSince == Time{}) {
-    signs.unansweredSince = since;
-    open_.insert(backend);
+void BackendHealth::recordRequest(BackendId backend, Time since, Time now) {
+  Record& record = records_[backend];
+  record.lastActivity = now;
+  if (record.unansweredSince == Time{}) {
+    record.unansweredSince = since;
+    pending_.insert(backend);
   }
 }
 
-void BackendHealth::onOpening(BackendId backend, Time now) { ask(backend, now, now); }
+void BackendHealth::onOpening(BackendId backend, Time now) { recordRequest(backend, now, now); }
 
-void BackendHealth::onRepeatedData(BackendId backend, Time firstSentAt, Time now) {
-  ask(backend, firstSentAt, now);
+void BackendHealth::onRetransmittedData(BackendId backend, Time firstSentAt, Time now) {
+  recordRequest(backend, firstSentAt, now);
 }
 
 void BackendHealth::onAnswer(BackendId backend, Time now) {
-  Signs& signs = signs_[backend];
-  signs.lastSign = now;
-  signs.lastAnswer = now;
-  signs.unansweredSince = Time{};
-  counters_.revived += signs.dead ? 1U : 0U;
-  signs.dead = false;
-  open_.erase(backend);
+  Record& record = records_[backend];
+  record.lastActivity = now;
+  record.lastResponse = now;
+  record.unansweredSince = Time{};
+  counters_.revived += record.dead ? 1U : 0U;
+  record.dead = false;
+  pending_.erase(backend);
 }
 
 bool BackendHealth::isSuspected(BackendId backend, Time now) const {
-  const auto found = signs_.find(backend);
-  if (found == signs_.end()) {
+  const auto found = records_.find(backend);
+  if (found == records_.end()) {
     return false;
   }
-  const Signs& signs = found->second;
-  const bool silent =
-      signs.unansweredSince != Time{} && now - signs.unansweredSince > kAnswerPatience;
-  return signs.dead || silent;
+  const Record& record = found->second;
+  const bool unresponsive =
+      record.unansweredSince != Time{} && now - record.unansweredSince > kResponseTimeout;
+  return record.dead || unresponsive;
 }
 
 bool BackendHealth::isDead(BackendId backend) const {
-  const auto found = signs_.find(backend);
-  return found != signs_.end() && found->second.dead;
+  const auto found = records_.find(backend);
+  return found != records_.end() && found->second.dead;
 }
 
-std::vector<BackendId> BackendHealth::takeProbes(std::size_t known, Time now) {
+std::vector<BackendId> BackendHealth::takeProbes(std::size_t backendCount, Time now) {
   std::vector<BackendId> due;
   std::size_t suspects = 0;
-  for (const BackendId id : open_) {
-    const Signs& signs = signs_.at(id);
+  for (const BackendId id : pending_) {
+    const Record& record = records_.at(id);
     const bool suspected = isSuspected(id, now);
     suspects += suspected ? 1U : 0U;
-    if (suspected && !signs.probing && now >= signs.nextProbe) {
+    if (suspected && !record.probing && now >= record.nextProbe) {
       due.push_back(id);
     }
   }
-  if (suspects > 1 && suspects * 2 > known) {
+  if (suspects > 1 && suspects * 2 > backendCount) {
     return {};
   }
   for (const BackendId id : due) {
-    Signs& signs = signs_.at(id);
-    signs.probing = true;
-    signs.probeCounts = true;
-    signs.probeBegan = now;
+    Record& record = records_.at(id);
+    record.probing = true;
+    record.probeValid = true;
+    record.probeStartedAt = now;
     ++counters_.probes;
   }
   return due;
 }
 
 bool BackendHealth::onProbe(BackendId backend, ProbeResult result, Time now) {
-  const auto found = signs_.find(backend);
-  if (found == signs_.end()) {
+  const auto found = records_.find(backend);
+  if (found == records_.end()) {
     return false;
   }
-  Signs& signs = found->second;
-  signs.probing = false;
-  signs.nextProbe = now + kProbeAgainAfter;
+  Record& record = found->second;
+  record.probing = false;
+  record.nextProbe = now + kProbeRetryInterval;
   if (result == ProbeResult::kConnected) {
     onAnswer(backend, now);
     return false;
   }
-  const bool answeredMeanwhile =
-      signs.unansweredSince == Time{} || !signs.probeCounts || signs.lastAnswer >= signs.probeBegan;
-  if (result != ProbeResult::kTimedOut || answeredMeanwhile) {
+  const bool respondedMeanwhile = record.unansweredSince == Time{} || !record.probeValid ||
+                                  record.lastResponse >= record.probeStartedAt;
+  if (result != ProbeResult::kTimedOut || respondedMeanwhile) {
     counters_.unproven += result == ProbeResult::kUnproven ? 1U : 0U;
     return false;
   }
-  signs.provenDeadAt = now;
-  if (signs.dead) {
+  record.confirmedDeadAt = now;
+  if (record.dead) {
     return false;
   }
-  signs.dead = true;
+  record.dead = true;
   ++counters_.declaredDead;
   return true;
 }
 
 void BackendHealth::onResume() {
-  for (auto& [id, signs] : signs_) {
-    signs.unansweredSince = Time{};
-    signs.dead = false;
-    signs.probeCounts = false;
+  for (auto& [id, record] : records_) {
+    record.unansweredSince = Time{};
+    record.dead = false;
+    record.probeValid = false;
   }
-  open_.clear();
+  pending_.clear();
 }
 
-std::vector<std::pair<BackendId, Time>> BackendHealth::answering(Time now) const {
+std::vector<std::pair<BackendId, Time>> BackendHealth::respondingBackends(Time now) const {
   std::vector<std::pair<BackendId, Time>> found;
-  for (const auto& [id, signs] : signs_) {
-    if (signs.lastAnswer != Time{} && !isSuspected(id, now)) {
-      found.emplace_back(id, signs.lastAnswer);
+  for (const auto& [id, record] : records_) {
+    if (record.lastResponse != Time{} && !isSuspected(id, now)) {
+      found.emplace_back(id, record.lastResponse);
     }
   }
   return found;
 }
 
-void BackendHealth::forget(BackendId backend) {
-  // A probe that is under way meets signs that know nothing of it, and proves nothing.
-  signs_.erase(backend);
-  open_.erase(backend);
+void BackendHealth::remove(BackendId backend) {
+  // A probe that is under way meets record that know nothing of it, and proves nothing.
+  records_.erase(backend);
+  pending_.erase(backend);
 }
 
-void BackendHealth::onReachChanged() { onResume(); }
+void BackendHealth::onReachabilityChanged() { onResume(); }
 
 void BackendHealth::expire(Time now) {
-  for (const BackendId id : open_) {
-    Signs& signs = signs_.at(id);
-    signs.dead = signs.dead && now - signs.provenDeadAt < kDeathHolds;
+  for (const BackendId id : pending_) {
+    Record& record = records_.at(id);
+    record.dead = record.dead && now - record.confirmedDeadAt < kDeadStateTtl;
   }
-  std::erase_if(signs_, [this, now](const auto& item) {
-    const bool forget = now - item.second.lastSign > kSignsMemory && !item.second.probing;
-    if (forget) {
-      open_.erase(item.first);
+  std::erase_if(records_, [this, now](const auto& item) {
+    const bool isExpired =
+        now - item.second.lastActivity > kHealthRecordTtl && !item.second.probing;
+    if (isExpired) {
+      pending_.erase(item.first);
     }
-    return forget;
+    return isExpired;
   });
 }
 
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -132,7 +132,7 @@
   /// @return back ends of a service that vanished after `since` without having announced it.
   std::vector<PlacementCandidate> vanishedSince(ServiceId service, Time since) const;
 
-  /// @return the same where they are more than one in kBackendsPerLapse of the service, else none:
+  /// @return the same where they are more than one in kMassExpiryRatio of the service, else none:
   /// so many do not end together without a word; it is their registrations that lapsed.
   std::vector<PlacementCandidate> lapsedSince(ServiceId service, Time since);
   /// @return true where the back end vanished after `since` without having announced it.
--- a/src/core/balancer.cc
+++ b/src/core/balancer.cc
@@ -68,7 +68,7 @@
 }
 
 bool Balancer::shouldReadPlatform(Time now) const {
-  if (agent_.current() == nullptr || now - lastHeard_ > kPeerSilence) {
+  if (agent_.current() == nullptr || now - lastHeard_ > kPeerSilenceTimeout) {
     return true;
   }
   const std::vector<MemberId> peers = reachableInZone(membership_.members(), options_.self.zone);
@@ -210,7 +210,7 @@
   // Without a list of peers, silence proves nothing; with one, it more likely means a cut.
   const bool isolatedJoiner =
       membership_.selfState() == MemberState::kJoining && hasSeeds_ && lastHeard_ == Time{};
-  const Duration wait = isolatedJoiner ? kFenceIsolatedWait : kFenceAloneWait;
+  const Duration wait = isolatedJoiner ? kFenceIsolatedTimeout : kFencePeerTimeout;
   const bool knewPeers = seedsSince_ != Time{} && now - seedsSince_ >= wait;
   fence_.openIfAlone(now, heardFromEstablished_ || !knewPeers);
   if (now >= nextFencePing_) {
@@ -244,7 +244,7 @@
   if (now >= nextMaintenance_) {
     nextMaintenance_ = now + kMaintenanceInterval;
     const Duration keep = options_.flowIdleTimeout * kRecordIdleFactor;
-    for (const BackendId gone : directory_.forgetOld(now, keep)) {
+    for (const BackendId gone : directory_.removeExpired(now, keep)) {
       homes_.forgetBackend(gone);
     }
   }
--- a/src/core/balancer_routing.cc
+++ b/src/core/balancer_routing.cc
@@ -185,7 +185,7 @@
   const bool provablyNew =
       opening ||
       (context.placement.isTracked() &&
-       homes_.isHomeSince(context.shard, kRetransmissionSpan, context.now) &&
+       homes_.isHomeSince(context.shard, kMaxTransmitSpan, context.now) &&
        homes_.state(context.shard).unknownFlowRule(context.now) == UnknownFlowRule::kIsNew);
   Refuse refusal{context.service.refusal,
                  provablyNew ? RefusalCertainty::kNotRun : RefusalCertainty::kOutcomeUnknown,
--- a/src/core/domains/serving_readiness.cc
+++ b/src/core/domains/serving_readiness.cc
@@ -31,7 +31,7 @@
                                  Time now)
 {
   this->Services[service] = now;
-  if (this->Unanswered.size() < kMostUnansweredKept) {
+  if (this->Unanswered.size() < kMaxUnansweredTracked) {
     this->Unanswered.try_emplace(backend, now);
   }
 }
@@ -46,11 +46,11 @@
 {
   const Duration gap = now - std::exchange(this->LastTickAt, now);
   // Answers and connections may wait behind timers that have run out.
-  if (gap > kServingStall) {
+  if (gap > kReadinessStallGap) {
     this->Forget();
   }
   std::erase_if(this->Services, [this, now](const auto& item) {
-    return this->Serving && now - item.second > kServiceSeenLately;
+    return this->Serving && now - item.second > kActiveServiceWindow;
   });
 }
 
@@ -64,7 +64,7 @@
 {
   return static_cast<std::size_t>(std::count_if(
     this->Unanswered.begin(), this->Unanswered.end(), [now](const auto& item) {
-      return now - item.second > kAnswerPatience;
+      return now - item.second > kResponseTimeout;
     }));
 }
 
@@ -80,8 +80,8 @@
       !this->IsAsking(now)) {
     return due;
   }
-  this->NextProbeAt = now + kServingProbeEvery;
-  const std::size_t wanted = this->Serving ? kProbesToLeave : 1;
+  this->NextProbeAt = now + kReadinessProbeInterval;
+  const std::size_t wanted = this->Serving ? kMinFailedProbesForNotReady : 1;
   auto next = this->Services.upper_bound(this->LastAsked);
   while (due.size() < wanted) {
     next = next == this->Services.end() ? this->Services.begin() : next;
@@ -108,7 +108,7 @@
     this->Change(true, ServingReason::kConnected, now);
     this->Forget();
   } else if (result != ProbeResult::kRefused &&
-             this->TimedOut.size() < kMostUnansweredKept) {
+             this->TimedOut.size() < kMaxUnansweredTracked) {
     this->TimedOut.insert(backend);
     this->Judge(now);
   }
@@ -117,9 +117,9 @@
 void ServingReadiness::Judge(Time now)
 {
   const bool stays =
-    this->ReturnedAt != Time{} && now - this->ReturnedAt < kLeastServing;
-  if (!stays && this->CountSilent(now) >= kSilentToLeave &&
-      this->TimedOut.size() >= kProbesToLeave) {
+    this->ReturnedAt != Time{} && now - this->ReturnedAt < kMinReadyTime;
+  if (!stays && this->CountSilent(now) >= kMinUnresponsiveForNotReady &&
+      this->TimedOut.size() >= kMinFailedProbesForNotReady) {
     this->Change(false, ServingReason::kUnreached, now);
   }
 }
--- a/src/core/domains/silent_groups.cc
+++ b/src/core/domains/silent_groups.cc
@@ -60,28 +60,28 @@
   const auto [found, isNew] = this->Groups.try_emplace(group);
   Signs& signs = found->second;
   if (isNew) {
-    signs.Wanted = kUnconnectedForGroup - 1;
-    signs.NextProbeAt = now + kGroupProbeEvery;
+    signs.Wanted = kGroupUnreachableThreshold - 1;
+    signs.NextProbeAt = now + kGroupProbeInterval;
   }
   signs.Unconnected.insert(backend);
-  signs.Until = now + kGroupSilentFor;
+  signs.Until = now + kGroupUnreachableTtl;
   return signs.Members.empty() &&
-    signs.Unconnected.size() >= kUnconnectedForGroup;
+    signs.Unconnected.size() >= kGroupUnreachableThreshold;
 }
 
 void SilentGroups::OnNotice(const BackendGroup& group, Time now)
 {
   const auto noticed = this->NoticedAt.find(group);
   const bool isEarly = noticed != this->NoticedAt.end() &&
-    now - noticed->second < kGroupNoticeEvery;
+    now - noticed->second < kGroupNoticeInterval;
   if (!this->Enabled || this->Groups.contains(group) || isEarly) {
     return;
   }
   this->NoticedAt[group] = now;
   ++this->Counters.Notices;
   Signs& signs = this->Groups[group];
-  signs.Wanted = kUnconnectedForGroup;
-  signs.Until = now + kGroupSilentFor;
+  signs.Wanted = kGroupUnreachableThreshold;
+  signs.Until = now + kGroupUnreachableTtl;
 }
 
 void SilentGroups::Mark(const BackendGroup& group,
@@ -90,7 +90,7 @@
 {
   Signs& signs = this->Groups[group];
   signs.Members.insert(members.begin(), members.end());
-  signs.Until = now + kGroupSilentFor;
+  signs.Until = now + kGroupUnreachableTtl;
   ++this->Counters.Found;
   this->Found.push_back(group);
 }
@@ -102,7 +102,7 @@
     std::size_t count = std::exchange(signs.Wanted, 0);
     if (count == 0 && !signs.Members.empty() && now >= signs.NextProbeAt) {
       count = 1;
-      signs.NextProbeAt = now + kGroupProbeEvery;
+      signs.NextProbeAt = now + kGroupProbeInterval;
     }
     if (count != 0) {
       this->Counters.Probes += count;
@@ -122,7 +122,7 @@
   std::erase_if(this->Groups,
                 [now](const auto& item) { return item.second.Until <= now; });
   std::erase_if(this->NoticedAt, [now](const auto& item) {
-    return now - item.second >= kGroupNoticeEvery;
+    return now - item.second >= kGroupNoticeInterval;
   });
 }
 
--- a/src/core/fence.cc
+++ b/src/core/fence.cc
@@ -4,7 +4,9 @@
 
 namespace cobaltgauge::core {
 
-bool Fence::noticesSuspension(Time now) const { return started_ && now - lastTick_ > kFreezeGap; }
+bool Fence::noticesSuspension(Time now) const {
+  return started_ && now - lastTick_ > kSuspensionGap;
+}
 
 void Fence::close(Time now, std::uint64_t firstSequence) {
   closed_ = true;
@@ -32,10 +34,10 @@
 }
 
 void Fence::openIfAlone(Time now, bool heardFromPeer) {
-  if (closed_ && !confirmers_.empty() && now - closedSince_ >= kHealConfirmationWait) {
+  if (closed_ && !confirmers_.empty() && now - closedSince_ >= kHealConfirmationTimeout) {
     closed_ = false;
   }
-  if (closed_ && !heardFromPeer && now - closedSince_ >= kFenceAloneWait) {
+  if (closed_ && !heardFromPeer && now - closedSince_ >= kFencePeerTimeout) {
     closed_ = false;
   }
 }
--- a/src/core/listing_plan.cc
+++ b/src/core/listing_plan.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// Back ends that a sample holds at least: as many as one opening compares.
-constexpr std::size_t kLeastSample = kPlacementLooks;
+constexpr std::size_t kLeastSample = kPlacementSampleSize;
 constexpr std::uint32_t kFinePerCoarse = kFineParts / kCoarseParts;
 
 }  // namespace
--- a/src/core/load/load_limits.h
+++ b/src/core/load/load_limits.h
@@ -20,8 +20,8 @@
 /// time until they send again.
 inline constexpr Duration kAnswerWholeAfter = 200ms;
 /// A request without an answer for so many times the usual time, and for
-/// kAnswerLate, was reset: its caller shows nothing after that.  A full queue
-/// makes answers five times as late.
+/// kLateResponseThreshold, was reset: its caller shows nothing after that.  A
+/// full queue makes answers five times as late.
 inline constexpr std::uint32_t kAnswerTimesPerReset = 6;
 /// A watched flow without a packet for this long is forgotten, its caller has
 /// gone elsewhere: longer than callers wait for an answer.
--- a/src/core/load/load_sum.cc
+++ b/src/core/load/load_sum.cc
@@ -8,13 +8,13 @@
 namespace {
 
 /// What the whole of the largest fleet may claim.
-constexpr std::uint32_t kMost = kLargestFleet * kMostOfOneDaemon;
+constexpr std::uint32_t kMost = kMaxFleetSize * kMostOfOneDaemon;
 
 } // namespace
 
 void LoadSum::Add(const std::vector<ZoneLoad>& loads, std::uint32_t daemons)
 {
-  const std::uint32_t bounded = std::min(daemons, kLargestFleet);
+  const std::uint32_t bounded = std::min(daemons, kMaxFleetSize);
   const std::uint32_t most = bounded * kMostOfOneDaemon;
   const auto add = [most](std::uint32_t& sum, std::uint32_t claimed) {
     sum = std::min(sum + std::min(claimed, most), kMost);
@@ -29,7 +29,7 @@
     add(sum.OpeningsInSecond, load.OpeningsInSecond);
     add(sum.RejectedInSecond, load.RejectedInSecond);
   }
-  this->Daemons = std::min(this->Daemons + bounded, kLargestFleet);
+  this->Daemons = std::min(this->Daemons + bounded, kMaxFleetSize);
 }
 
 ZoneLoad LoadSum::Get(const LoadKey& key) const
--- a/src/core/load/opening_outcomes.cc
+++ b/src/core/load/opening_outcomes.cc
@@ -77,7 +77,8 @@
   if (packet.dataLength != 0) {
     if (!hasAsked) {
       watch.AskedAt = now;
-      this->Asked.push_back({ now + kAnswerLate, watch.OpenedAt, flow });
+      this->Asked.push_back(
+        { now + kLateResponseThreshold, watch.OpenedAt, flow });
     }
     const std::uint32_t end = packet.sequence + packet.dataLength;
     const bool isFurther =
@@ -194,7 +195,7 @@
       now - asked.AskedAt >= usual.Get() * kAnswerTimesPerReset;
     if (!isLate) {
       this->Asked.push_back(
-        { now + kAnswerLate, asked.OpenedAt, watch->first });
+        { now + kLateResponseThreshold, asked.OpenedAt, watch->first });
       continue;
     }
     // It is watched on, since a late answer tells what is usual.
--- a/src/core/member_list.cc
+++ b/src/core/member_list.cc
@@ -119,7 +119,7 @@
 void MemberList::forgetOld(Time now) {
   std::erase_if(members_, [now](const auto& item) {
     const Member& member = item.second;
-    return !isReachable(member.state) && now - member.stateSince > kDeadMemberMemory;
+    return !isReachable(member.state) && now - member.stateSince > kDeadMemberRetention;
   });
 }
 
--- a/src/core/member_list.h
+++ b/src/core/member_list.h
@@ -67,7 +67,7 @@
   /// Moves the time of every state change forward, after this process was suspended.
   void shiftStateTimes(Time now);
 
-  /// Forgets members that have been dead or gone for longer than kDeadMemberMemory.
+  /// Forgets members that have been dead or gone for longer than kDeadMemberRetention.
   void forgetOld(Time now);
 
   static MemberUpdate toUpdate(const Member& member);
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -178,7 +178,7 @@
     std::vector<MemberId> helpers = list_.reachable();
     std::erase_if(helpers, [this](MemberId id) { return id == self_.id || id == probe_->target; });
     shuffle(helpers, random_);
-    helpers.resize(std::min(helpers.size(), kIndirectProbes));
+    helpers.resize(std::min(helpers.size(), kIndirectProbeCount));
     for (const MemberId helper : helpers) {
       outbox_.send(helper, list_.find(helper)->identity.control,
                    PingRequest{probe_->sequence, MemberList::toUpdate(*target)});
--- a/src/core/opening_pacer.h
+++ b/src/core/opening_pacer.h
@@ -17,22 +17,22 @@
  public:
   /// @return true where the back end was given an opening only just now.
   bool isBusy(BackendId backend, Time now) const {
-    const auto found = freeAt_.find(backend);
-    return found != freeAt_.end() && found->second > now;
+    const auto found = availableAt_.find(backend);
+    return found != availableAt_.end() && found->second > now;
   }
 
   /// Notes an opening. @param capacity requests that the back end handles at once.
   void onOpening(BackendId backend, std::uint32_t capacity, Time now) {
-    Time& freeAt = freeAt_[backend];
-    freeAt = std::max(freeAt, now) + kOpeningSpacing / capacity;
+    Time& freeAt = availableAt_[backend];
+    freeAt = std::max(freeAt, now) + kOpeningPacingInterval / capacity;
   }
 
   void expire(Time now) {
-    std::erase_if(freeAt_, [now](const auto& item) { return item.second <= now; });
+    std::erase_if(availableAt_, [now](const auto& item) { return item.second <= now; });
   }
 
  private:
-  std::unordered_map<BackendId, Time> freeAt_;
+  std::unordered_map<BackendId, Time> availableAt_;
 };
 
 }  // namespace cobaltgauge::core
--- a/src/core/outbox.cc
+++ b/src/core/outbox.cc
@@ -16,7 +16,7 @@
   OutgoingMessage outgoing{to, destination, std::move(message)};
   ready_.push_back(outgoing);
   const std::uint64_t id = std::get<RecordsMessage>(outgoing.message).id;
-  pending_.emplace(id, Pending{std::move(outgoing), now + kResendInterval, now + kResendGiveUp});
+  pending_.emplace(id, Pending{std::move(outgoing), now + kResendInterval, now + kResendTimeout});
 }
 
 void Outbox::onAck(const RecordsAck& ack) { pending_.erase(ack.id); }
--- a/src/core/outlier/answer_deadlines.cc
+++ b/src/core/outlier/answer_deadlines.cc
@@ -8,8 +8,8 @@
                              std::uint32_t dataEnd,
                              Time now)
 {
-  if (this->Waiting.size() < kMostExpectedAnswers) {
-    this->Waiting.push_back({ flow, dataEnd, now + kAnswerLate });
+  if (this->Waiting.size() < kMaxPendingResponses) {
+    this->Waiting.push_back({ flow, dataEnd, now + kLateResponseThreshold });
   }
 }
 
--- a/src/core/outlier/answer_times.cc
+++ b/src/core/outlier/answer_times.cc
@@ -30,7 +30,7 @@
 
   Mean& mean = this->Means[backend];
   const bool isFirst =
-    mean.Samples == 0 || now - mean.LastAt > kAnswerTimesMemory;
+    mean.Samples == 0 || now - mean.LastAt > kResponseTimeTtl;
   mean.Seconds = isFirst
     ? seconds
     : mean.Seconds + kLatestWeight * (seconds - mean.Seconds);
@@ -45,18 +45,18 @@
   const auto mean = this->Means.find(backend);
   const auto median = this->Medians.find(service);
   if (mean == this->Means.end() || median == this->Medians.end() ||
-      mean->second.Samples < kAnswersForMean ||
-      now - mean->second.LastAt > kAnswerTimesMemory) {
+      mean->second.Samples < kMinResponsesForMean ||
+      now - mean->second.LastAt > kResponseTimeTtl) {
     return 1.0;
   }
   const double ratio = mean->second.Seconds / median->second;
-  return ratio < kSlowFrom ? 1.0 : std::min(ratio, kSlowestCounted);
+  return ratio < kSlowLatencyRatio ? 1.0 : std::min(ratio, kMaxLatencyRatio);
 }
 
 void AnswerTimes::Expire(Time now)
 {
   std::erase_if(this->Means, [now](const auto& item) {
-    return now - item.second.LastAt > kAnswerTimesMemory;
+    return now - item.second.LastAt > kResponseTimeTtl;
   });
 }
 
--- a/src/core/outlier/answer_times.h
+++ b/src/core/outlier/answer_times.h
@@ -30,7 +30,7 @@
   /// Forget a back end that has started anew.
   void Forget(BackendId backend) { this->Means.erase(backend); }
 
-  /// Forget back ends that have not answered for kAnswerTimesMemory.
+  /// Forget back ends that have not answered for kResponseTimeTtl.
   void Expire(Time now);
 
 private:
--- a/src/core/outlier/outlier_detector.cc
+++ b/src/core/outlier/outlier_detector.cc
@@ -16,7 +16,7 @@
 {
   const std::uint64_t late = this->Late + this->LateBefore;
   const std::uint64_t answered = this->Answered + this->AnsweredBefore;
-  return late * kAnsweredPerLate > answered;
+  return late * kMinResponsesPerLate > answered;
 }
 
 void OutlierDetector::OnLate(BackendId backend)
@@ -28,7 +28,7 @@
     ++this->Counters.Withheld;
     return;
   }
-  if (this->Pending.size() < kMostObservations) {
+  if (this->Pending.size() < kMaxObservations) {
     this->Pending.push_back({ backend, this->Reporter });
   }
 }
@@ -45,12 +45,12 @@
   for (const OutlierObservation& observation : report.observations) {
     Evidence& evidence = this->Observed[observation.backend];
     evidence.LateAt[observation.reporter] = now;
-    evidence.Forget(now - kOutlierEvidence);
-    if (evidence.LateAt.size() < kOutlierReporters) {
+    evidence.Forget(now - kOutlierEvidenceWindow);
+    if (evidence.LateAt.size() < kMinOutlierReporters) {
       continue;
     }
-    const auto [outlier, isNew] =
-      this->Outliers.insert_or_assign(observation.backend, now + kOutlierFor);
+    const auto [outlier, isNew] = this->Outliers.insert_or_assign(
+      observation.backend, now + kOutlierEjectionTime);
     if (isNew) {
       ++this->Counters.Found;
       found.push_back(observation.backend);
@@ -63,7 +63,7 @@
 {
   this->Outliers.clear();
   for (const BackendId backend : outliers) {
-    this->Outliers[backend] = now + kOutlierFor;
+    this->Outliers[backend] = now + kOutlierEjectionTime;
   }
 }
 
@@ -74,11 +74,11 @@
   if (now < this->PeriodEnds) {
     return;
   }
-  this->PeriodEnds = now + kOutlierEvidence;
+  this->PeriodEnds = now + kOutlierEvidenceWindow;
   this->AnsweredBefore = std::exchange(this->Answered, 0);
   this->LateBefore = std::exchange(this->Late, 0);
   for (auto& [backend, evidence] : this->Observed) {
-    evidence.Forget(now - kOutlierEvidence);
+    evidence.Forget(now - kOutlierEvidenceWindow);
   }
   std::erase_if(this->Observed,
                 [](const auto& item) { return item.second.LateAt.empty(); });
@@ -88,7 +88,7 @@
 {
   std::vector<BackendId> list;
   for (const auto& [backend, ends] : this->Outliers) {
-    if (list.size() < kMostOutliersTold) {
+    if (list.size() < kMaxReportedOutliers) {
       list.push_back(backend);
     }
   }
--- a/src/core/outlier/outlier_detector.h
+++ b/src/core/outlier/outlier_detector.h
@@ -40,8 +40,8 @@
   /// A back end answered a caller of this daemon.
   void OnAnswered() { ++this->Answered; }
 
-  /// A back end left a caller of this daemon unanswered for kAnswerLate, or
-  /// was silent and did not answer a probe either.
+  /// A back end left a caller of this daemon unanswered for
+  /// kLateResponseThreshold, or was silent and did not answer a probe either.
   void OnLate(BackendId backend);
 
   /// Take what this daemon has observed since, for those that decide.
@@ -90,7 +90,7 @@
   std::vector<OutlierObservation> Pending;
   std::map<BackendId, Evidence> Observed;
   std::map<BackendId, Time> Outliers; ///< With the end of the verdict.
-  /// Of the present and the last period of kOutlierEvidence.
+  /// Of the present and the last period of kOutlierEvidenceWindow.
   std::uint64_t Answered = 0;
   std::uint64_t AnsweredBefore = 0;
   std::uint64_t Late = 0;
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -53,8 +53,8 @@
     return Rated{};
   }
   for (const ServiceId service : services) {
-    const Candidates vanished =
-      this->In.Backends.vanishedSince(service, now - kVanishedFallback);
+    const Candidates vanished = this->In.Backends.vanishedSince(
+      service, now - kVanishedBackendGracePeriod);
     const Rated best = this->ChooseAllowed(vanished, route, avoided, now);
     if (best.Id != kNoBackend) {
       return best;
@@ -72,7 +72,7 @@
   // Of all regions: routes that allow different ones share the figures.
   this->In.Spill.Update(registered, now);
   Candidates all =
-    this->In.Backends.lapsedSince(service, now - kVanishedFallback);
+    this->In.Backends.lapsedSince(service, now - kVanishedBackendGracePeriod);
   if (all.empty()) {
     return this->ChooseAllowed(registered, route, avoided, now);
   }
@@ -154,9 +154,9 @@
   BackendId avoided,
   Time now)
 {
-  if (candidates.size() > kPlacementLooks) {
-    const Rated drawn =
-      this->ChooseBest(candidates, kPlacementLooks, without, avoided, now);
+  if (candidates.size() > kPlacementSampleSize) {
+    const Rated drawn = this->ChooseBest(
+      candidates, kPlacementSampleSize, without, avoided, now);
     if (drawn.Id != kNoBackend) {
       return drawn;
     }
@@ -214,7 +214,7 @@
                                            BackendId avoided,
                                            Time now) const
 {
-  const double flows = this->In.Flows.openOn(candidate.id) + 1.0;
+  const double flows = this->In.Flows.openFlowCount(candidate.id) + 1.0;
   const bool isWarming = now < candidate.warmUntil;
   const double warmUp = isWarming ? kWarmUpFactor : 1.0;
   const double slowness =
--- a/src/core/placement/own_demotions.cc
+++ b/src/core/placement/own_demotions.cc
@@ -16,7 +16,7 @@
   if (outliers == 0) {
     return;
   }
-  if (outliers * kBackendsPerOutlier <= candidates.size()) {
+  if (outliers * kMinBackendsPerOutlier <= candidates.size()) {
     this->Counts = true;
     return;
   }
@@ -27,7 +27,7 @@
                     return this->Detector->IsOutlier(candidate.id);
                   }));
   this->Counts =
-    found != 0 && found * kBackendsPerOutlier <= candidates.size();
+    found != 0 && found * kMinBackendsPerOutlier <= candidates.size();
 }
 
 bool OutlierDemotion::ComesLast(const PlacementCandidate& candidate,
--- a/src/core/proof/witnesses.cc
+++ b/src/core/proof/witnesses.cc
@@ -54,7 +54,7 @@
   }
   LastHeard near;
   LastHeard far;
-  for (const auto& [id, heardAt] : health.answering(now)) {
+  for (const auto& [id, heardAt] : health.respondingBackends(now)) {
     const Registration* heard = backends.registrationOf(id);
     if (heard != nullptr &&
         heard->endpoint.address != silent->endpoint.address) {
--- a/src/core/reach/port_finder.cc
+++ b/src/core/reach/port_finder.cc
@@ -21,7 +21,7 @@
 
 std::optional<std::uint16_t> PortFinder::Observe(SteeringToken token)
 {
-  if (token == kNoToken || this->Checks.size() >= kMostHostsForPort) {
+  if (token == kNoToken || this->Checks.size() >= kMaxHostsForPort) {
     return std::nullopt;
   }
   const PortCheck check = this->Codec.GetPortCheck(token);
@@ -29,7 +29,7 @@
     return std::nullopt;
   }
   this->Checks.push_back(check);
-  if (this->Checks.size() < kHostsForPort) {
+  if (this->Checks.size() < kMinHostsForPort) {
     return std::nullopt;
   }
   return this->FindPort();
@@ -39,7 +39,7 @@
 {
   const std::size_t quarter = this->Checks.size() / 4;
   const auto needed = static_cast<std::ptrdiff_t>(
-    std::max(kHostsForPort, this->Checks.size() - quarter));
+    std::max(kMinHostsForPort, this->Checks.size() - quarter));
   std::optional<std::uint16_t> found;
   for (std::uint32_t port = 1; port <= kHighestPort; ++port) {
     const auto candidate = static_cast<std::uint16_t>(port);
--- a/src/core/reach/port_finder.h
+++ b/src/core/reach/port_finder.h
@@ -14,9 +14,9 @@
 /** \class PortFinder
  * \brief Collect tokens of different hosts until only one port explains them.
  *
- * The check of one token fits one port in 256.  Those of kHostsForPort hosts
- * fit a wrong one once in 65,536 times.  Some tokens may be of another form:
- * three quarters of them have to fit.
+ * The check of one token fits one port in 256.  Those of kMinHostsForPort
+ * hosts fit a wrong one once in 65,536 times.  Some tokens may be of another
+ * form: three quarters of them have to fit.
  */
 class PortFinder
 {
--- a/src/core/reach/token_reach.cc
+++ b/src/core/reach/token_reach.cc
@@ -12,7 +12,7 @@
     return;
   }
   std::erase(this->Ports, port);
-  if (this->Ports.size() >= kMostKnownPorts) {
+  if (this->Ports.size() >= kMaxCandidatePorts) {
     this->Ports.erase(this->Ports.begin());
   }
   this->Ports.push_back(port);
--- a/src/core/record_transfers.cc
+++ b/src/core/record_transfers.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// A transfer is remembered longer than its sender can resend it.
-constexpr Duration kTransferMemory = 4 * kResendGiveUp;
+constexpr Duration kTransferMemory = 4 * kResendTimeout;
 
 }  // namespace
 
--- a/src/core/relay/change_log.cc
+++ b/src/core/relay/change_log.cc
@@ -35,7 +35,7 @@
   this->HeaviestPending = std::max(this->HeaviestPending, weight);
   this->NewestPending = std::max(this->NewestPending, change.revision);
   // Nothing is kept of a batch that will be left out anyway.
-  if (this->PendingWeight <= kHeaviestLog) {
+  if (this->PendingWeight <= kMaxLogItems) {
     this->Pending.push_back(std::move(change));
   }
 }
@@ -52,7 +52,7 @@
   const bool isWhole = std::exchange(this->Indivisible, false);
   std::vector<StoreChange> changes = std::exchange(this->Pending, {});
   const std::size_t lightest = isWhole ? weight : heaviest;
-  if (isFirst || lightest > kHeaviestBatch || weight > kHeaviestLog) {
+  if (isFirst || lightest > kMaxBatchItems || weight > kMaxLogItems) {
     this->Clear(newest);
     return;
   }
@@ -63,7 +63,7 @@
                [&complete](const StoreChange& change) {
                  return change.revision > complete;
                });
-  if (weight <= kHeaviestBatch) {
+  if (weight <= kMaxBatchItems) {
     this->AddBatch({ complete, std::move(changes), weight });
   } else {
     this->AddInParts(std::move(changes), complete);
@@ -89,7 +89,7 @@
   Batch part;
   for (StoreChange& change : changes) {
     const std::size_t weight = WeightOf(change);
-    const bool isFull = part.Weight + weight > kHeaviestBatch;
+    const bool isFull = part.Weight + weight > kMaxBatchItems;
     if (isFull && part.Complete < end(change)) {
       this->AddBatch(std::exchange(part, {}));
     }
@@ -109,7 +109,8 @@
 
 void ChangeLog::DropOldest()
 {
-  while (this->Weight > kHeaviestLog || this->Batches.size() > kMostBatches) {
+  while (this->Weight > kMaxLogItems ||
+         this->Batches.size() > kMaxLogBatches) {
     this->Base = this->Batches.front().Complete;
     this->Weight -= this->Batches.front().Weight;
     this->Batches.pop_front();
@@ -136,7 +137,7 @@
       continue;
     }
     weight += batch.Weight;
-    if (weight > kHeaviestBatch && !excerpt.Changes.empty()) {
+    if (weight > kMaxBatchItems && !excerpt.Changes.empty()) {
       return excerpt;
     }
     excerpt.Changes.insert(
--- a/src/core/relay/change_log.h
+++ b/src/core/relay/change_log.h
@@ -48,7 +48,7 @@
   /// where it was complete up to there before.
   void Close(Revision complete);
 
-  /// Get what a view complete up to `have` lacks, up to kHeaviestBatch items.
+  /// Get what a view complete up to `have` lacks, up to kMaxBatchItems items.
   /// \return nothing where the log does not reach back that far.
   std::optional<ChangeExcerpt> Since(Revision have) const;
 
--- a/src/core/relay/fleet_count.h
+++ b/src/core/relay/fleet_count.h
@@ -17,8 +17,8 @@
  * the store, and told downwards with each update.  A tree that has just lost a
  * branch, or is one of two halves, counts too few; so the highest one of the
  * last periods holds.  A tree that is still growing does as well; so counts
- * are believed once they have been heard for kFleetCountSettles, and until
- * then kLargestFleet holds.  Good for dividing a bound that may be divided too
+ * are believed once they have been heard for kFleetCountSettleTime, and until
+ * then kMaxFleetSize holds.  Good for dividing a bound that may be divided too
  * finely; nothing may rely on there being that many.
  */
 class FleetCount
@@ -39,11 +39,11 @@
   std::uint32_t Get(Time now) const
   {
     const bool isSettled = this->FirstHeard != Time{} &&
-      now - this->FirstHeard >= kFleetCountSettles;
-    const bool isForgotten = now >= this->PeriodEnds + kFleetCountMemory;
+      now - this->FirstHeard >= kFleetCountSettleTime;
+    const bool isForgotten = now >= this->PeriodEnds + kFleetCountTtl;
     return isSettled && !isForgotten
       ? std::max(this->Highest, this->HighestBefore)
-      : kLargestFleet;
+      : kMaxFleetSize;
   }
 
 private:
@@ -53,12 +53,12 @@
     if (now < this->PeriodEnds) {
       return;
     }
-    if (now >= this->PeriodEnds + kFleetCountMemory) {
+    if (now >= this->PeriodEnds + kFleetCountTtl) {
       // Nothing was heard for a whole period: as at a start.
       this->FirstHeard = now;
       this->Highest = 0;
     }
-    this->PeriodEnds = now + kFleetCountMemory;
+    this->PeriodEnds = now + kFleetCountTtl;
     this->HighestBefore = this->Highest;
     this->Highest = 0;
   }
--- a/src/core/relay/follower_leases.cc
+++ b/src/core/relay/follower_leases.cc
@@ -11,8 +11,8 @@
                            std::uint32_t daemons,
                            Time now)
 {
-  const bool isFull = this->Leases.size() >= kMostFollowers ||
-    this->CountNearer(follower) >= kFollowersFromAfar;
+  const bool isFull = this->Leases.size() >= kMaxFollowers ||
+    this->CountNearer(follower) >= kMaxRemoteFollowers;
   if (isFull && this->Leases.count(follower) == 0) {
     return false;
   }
@@ -39,9 +39,9 @@
 {
   std::uint32_t daemons = 1;
   for (const auto& [follower, lease] : this->Leases) {
-    daemons += std::min(lease.Daemons, kLargestFleet);
+    daemons += std::min(lease.Daemons, kMaxFleetSize);
   }
-  return std::min(daemons, kLargestFleet);
+  return std::min(daemons, kMaxFleetSize);
 }
 
 std::size_t FollowerLeases::CountNearer(const Endpoint& asking) const
@@ -66,7 +66,7 @@
                      return CountSharedBytes(left, asking) >
                        CountSharedBytes(right, asking);
                    });
-  some.resize(std::min(some.size(), kPeersNamed));
+  some.resize(std::min(some.size(), kAdvertisedPeers));
   return some;
 }
 
--- a/src/core/relay/peer_clocks.cc
+++ b/src/core/relay/peer_clocks.cc
@@ -38,7 +38,7 @@
 void PeerClocks::Expire(Time now)
 {
   std::erase_if(this->Relations, [now](const auto& item) {
-    return now - item.second.LearnedAt > kClockMemory;
+    return now - item.second.LearnedAt > kClockOffsetTtl;
   });
 }
 
--- a/src/core/relay/peer_clocks.h
+++ b/src/core/relay/peer_clocks.h
@@ -38,7 +38,7 @@
 
   void Forget(const Endpoint& peer) { this->Relations.erase(peer); }
 
-  /// Forget clocks that were not heard for kClockMemory.
+  /// Forget clocks that were not heard for kClockOffsetTtl.
   void Expire(Time now);
 
 private:
--- a/src/core/relay/seed_group.cc
+++ b/src/core/relay/seed_group.cc
@@ -43,7 +43,7 @@
   }
   const Duration age(static_cast<Duration::rep>(update.clockUs) -
                      static_cast<Duration::rep>(update.confirmedUs));
-  const bool isFailing = age >= timing.SeedReadsAfter + kSeedTriesWithin;
+  const bool isFailing = age >= timing.SeedReadsAfter + kSeedReadAttemptWindow;
   this->FailedAt = isFailing ? now : Time{};
 }
 
@@ -57,12 +57,13 @@
 bool SeedGroup::IsCovered(Time now) const
 {
   return !this->SelfIsSeed && !this->Others.empty() &&
-    now - this->HeardAt < kSeedHeardWithin;
+    now - this->HeardAt < kSeedLivenessWindow;
 }
 
 bool SeedGroup::HasFailed(Time now) const
 {
-  return this->FailedAt != Time{} && now - this->FailedAt < kSeedHeardWithin;
+  return this->FailedAt != Time{} &&
+    now - this->FailedAt < kSeedLivenessWindow;
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/view_difference.h
+++ b/src/core/relay/view_difference.h
@@ -22,7 +22,7 @@
 
 /// Items of one part of a difference, about 50 bytes each: as many as a log
 /// holds.
-inline constexpr std::size_t kHeaviestDifference = kHeaviestLog;
+inline constexpr std::size_t kHeaviestDifference = kMaxLogItems;
 /// Routes that are told to followers at most, about 90 bytes each: more than
 /// 45 KB to each of 32 followers would hold up callers' packets on a link of
 /// 20 Mbit/s for longer than half a second.  Each daemon reads a larger set.
@@ -53,7 +53,7 @@
   /// Get how many pages of the store the view fills.
   std::size_t CountPages() const
   {
-    return 1 + this->Backends.size() / kItemsOfStorePage;
+    return 1 + this->Backends.size() / kStorePageItems;
   }
 
 private:
--- a/src/core/relay/view_relay.cc
+++ b/src/core/relay/view_relay.cc
@@ -84,8 +84,8 @@
   const std::size_t beyondSmall =
     isCovered && peers > kSmallFleetPeers ? peers - kSmallFleetPeers : 0;
   const Duration startBackOff = std::min<Duration>(
-    kReadBackOffAtStart + kStartTryForEachPeer * beyondSmall,
-    kReadBackOffLongest);
+    kStartupReadBackoff + kStartupReadBackoffPerPeer * beyondSmall,
+    kMaxReadBackoff);
   this->Reader.setStartBackOff(startBackOff);
 }
 
@@ -98,14 +98,14 @@
     return Duration{ 0 };
   }
   const std::size_t pages = this->Difference->CountPages();
-  return std::min<Duration>(kListSpread * pages * this->Fleet.Get(now),
+  return std::min<Duration>(kListJitterPerPage * pages * this->Fleet.Get(now),
                             this->Timing.ListAgainWithin);
 }
 
 Duration ViewRelay::GetTrySpan(std::size_t peers) const
 {
   return std::clamp<Duration>(
-    kTryForEachPeer * peers, this->Timing.RareTryAfter, kLongestTrySpan);
+    kReadJitterPerPeer * peers, this->Timing.RareTryAfter, kMaxReadJitter);
 }
 
 void ViewRelay::BeginReading(std::size_t peers, Time now)
@@ -115,7 +115,7 @@
   if (!this->Reader.areOthersFailing()) {
     return;
   }
-  const Duration span = std::min<Duration>(kFirstTryForEachPeer * peers,
+  const Duration span = std::min<Duration>(kFirstReadJitterPerPeer * peers,
                                            this->Timing.RareTryAfter);
   const auto wait =
     this->RandomSource.below(static_cast<std::uint64_t>(span.count()) + 1);
@@ -144,14 +144,15 @@
     return;
   }
   if (this->Upstream) {
-    this->NextAskAt = now + kRenewEvery;
+    this->NextAskAt = now + kSubscriptionRenewInterval;
     this->Subscribe(*this->Upstream, now);
     return;
   }
   const bool isContent =
     this->Seeds.IsSelfSeed() && this->Reader.isCurrent(now);
   if (!this->MayCatchUpByPeers()) {
-    this->NextAskAt = now + (isContent ? kSeedAsksEvery : kAskPeersEvery);
+    this->NextAskAt =
+      now + (isContent ? kSeedQueryInterval : kPeerQueryInterval);
   }
   this->Ask(peers, now);
 }
@@ -175,7 +176,7 @@
     return daemons[this->RandomSource.below(daemons.size())];
   };
   const Endpoint* nearest = &draw();
-  for (std::size_t i = 1; i < kPeersCompared; ++i) {
+  for (std::size_t i = 1; i < kPeerSampleSize; ++i) {
     const Endpoint& other = draw();
     const bool isNearer = CountSharedBytes(other, this->Self) >
       CountSharedBytes(*nearest, this->Self);
@@ -211,7 +212,7 @@
     this->Log.Begin(this->Reader.revision());
   }
   if (this->MayCatchUpByPeers()) {
-    this->Reader.putOff(now + kCatchUpFromPeers);
+    this->Reader.putOff(now + kPeerCatchUpTimeout);
     this->AskSeed(now);
   }
   if (this->Reader.confirmedAt() > this->LastConfirmed) {
--- a/src/core/relay/view_relay_followers.cc
+++ b/src/core/relay/view_relay_followers.cc
@@ -79,7 +79,8 @@
 void ViewRelay::PushNews(Time now)
 {
   const bool isNews = this->Log.GetComplete() > this->LastPushed ||
-    this->Reader.confirmedAt() - this->LastPushConfirmed >= kLeastPushGap;
+    this->Reader.confirmedAt() - this->LastPushConfirmed >=
+      kMinKeepaliveInterval;
   if (isNews) {
     this->Push(now);
   }
--- a/src/core/relay/view_relay_updates.cc
+++ b/src/core/relay/view_relay_updates.cc
@@ -123,7 +123,7 @@
   if (!update.full && !this->Upstream) {
     this->Upstream = update.sender;
     this->Referred.clear();
-    this->NextAskAt = now + kRenewEvery;
+    this->NextAskAt = now + kSubscriptionRenewInterval;
   }
 }
 
@@ -137,7 +137,7 @@
   }
   const Revision have = this->Reader.revision();
   const bool isAsked = have == this->MissingAskedFrom &&
-    now - this->MissingAskedAt < kAskPeersEvery;
+    now - this->MissingAskedAt < kPeerQueryInterval;
   if (!isAsked) {
     this->MissingAskedFrom = have;
     this->MissingAskedAt = now;
--- a/src/core/service_placement.h
+++ b/src/core/service_placement.h
@@ -67,7 +67,7 @@
   Time movedAt() const { return movedAt_; }
   bool everMoved() const { return everMoved_; }
   /// @return true where reports of the last move may still be on their way between owners.
-  bool movedRecently(Time now) const { return everMoved_ && now - movedAt_ < kRecentMove; }
+  bool movedRecently(Time now) const { return everMoved_ && now - movedAt_ < kRecentMoveWindow; }
   /// Version at which buckets last moved; the first version that this daemon held if none did.
   ConfigurationVersion movedVersion() const { return movedVersion_; }
   std::size_t settledCount() const { return settled_.count(); }
--- a/src/core/shard_homes.cc
+++ b/src/core/shard_homes.cc
@@ -133,7 +133,7 @@
   if (before.home == kNoMember) {
     shard.setComplete(placement.version());
   } else if (isReachablePeer(before.home)) {
-    shard.awaitHandover(before.home, now + kHandoverWait);
+    shard.awaitHandover(before.home, now + kHandoverTimeout);
   } else if (!shard.isCompleteAt(placement.movedVersion()) || placement.movedRecently(now)) {
     listingsNeeded_.push_back(key);
   }
@@ -181,7 +181,7 @@
                                    const PlacementMap& placements, Time now) {
   for (auto& [key, shard] : states_) {
     if (owns(key)) {
-      shard.hold(returned, now + kListingWait);
+      shard.hold(returned, now + kListingTimeout);
     }
   }
   reportAll(placements, now);
@@ -191,7 +191,7 @@
   for (const auto& [key, ranking] : rankings_) {
     const ShardOwners& current = ranking.owners();
     if (current.home == membership_.self().id && current.replica != kNoMember) {
-      states_[key].awaitHandover(current.replica, now + kHandoverWait);
+      states_[key].awaitHandover(current.replica, now + kHandoverTimeout);
     } else if (current.replica == membership_.self().id) {
       states_[key].setUnknown();
     }
--- a/src/core/shard_records.cc
+++ b/src/core/shard_records.cc
@@ -88,7 +88,7 @@
   for (const ShardKey& key : shards) {
     const auto placement = placements.find(key.service);
     if (placement != placements.end()) {
-      states_[key].awaitListing(members, placement->second.movedVersion(), now + kListingWait);
+      states_[key].awaitListing(members, placement->second.movedVersion(), now + kListingTimeout);
     }
   }
   reportFlows(reportsOn(shards, placements, membership_.self().id), now);
--- a/src/core/store_reader.cc
+++ b/src/core/store_reader.cc
@@ -54,8 +54,8 @@
   read.kind = StoreRead::Kind::kWatch;
   read.afterRevision = revision_;
   watchedFrom_ = revision_;
-  read.wait = isFilling() ? kCatchUpWait : watchWait();
-  read.timeout = read.wait + std::max(kWatchSlack, timeoutNow());
+  read.wait = isFilling() ? kCatchUpWatchMaxWait : watchWait();
+  read.timeout = read.wait + std::max(kWatchTimeoutMargin, timeoutNow());
   return read;
 }
 
@@ -217,16 +217,16 @@
   const bool changed = changes != 0;
   const bool inBurst = changed && lastChangeAt_ != Time{} && now - lastChangeAt_ < kBurstGap;
   lastChangeAt_ = changed ? now : lastChangeAt_;
-  const bool isWanted = wantedAt_ != Time{} && now - wantedAt_ < kWantedFor;
+  const bool isWanted = wantedAt_ != Time{} && now - wantedAt_ < kUrgentChangeWindow;
   // An answer as large as a page is only the first of what has happened.
-  const bool moreFollows = changes >= kItemsOfStorePage / 2;
+  const bool moreFollows = changes >= kStorePageItems / 2;
   if (isWanted || urgent_ || moreFollows || isFilling()) {
     return 0ms;
   }
   if (inBurst) {
-    return watchWait_ - std::min(kWaitAfterBurst, watchWait_);
+    return watchWait_ - std::min(kPostBurstWatchMaxWait, watchWait_);
   }
-  return covered_ ? std::min(kLetOthersRead, watchWait_) : 0ms;
+  return covered_ ? std::min(kReadHoldOff, watchWait_) : 0ms;
 }
 
 void StoreReader::onFailure(ReadOutcome outcome, Time now) {
@@ -240,7 +240,7 @@
       !listing_ && failuresInRow_ == 1 && outcome == ReadOutcome::kConnectionLost;
   // Waiting watches are cut now and then; the first retry need not wait.
   nextReadAt_ = watchEnded ? now : now + backOffAfter(outcome);
-  if (complete_ && (othersFail_ || failuresInRow_ > kTriesBeforeRare)) {
+  if (complete_ && (othersFail_ || failuresInRow_ > kFailuresBeforeSeedBackoff)) {
     rareReadAt_ = now + upTo(othersFail_.value_or(rareTryAfter_));
   }
 }
@@ -339,23 +339,23 @@
 
 std::chrono::milliseconds StoreReader::watchWait() const {
   if (!complete_) {
-    return kCatchUpWait;
+    return kCatchUpWatchMaxWait;
   }
   const std::chrono::milliseconds wait = watchWait_ - pause_;
-  return confirming_ ? std::min(kConfirmWait, wait) : wait;
+  return confirming_ ? std::min(kConfirmWatchMaxWait, wait) : wait;
 }
 
 Duration StoreReader::timeoutNow() const {
-  const std::uint32_t doublings =
-      std::min<std::uint32_t>(failuresInRow_ / kReadsPerTimeout, kReadTimeoutDoublings);
+  const std::uint32_t doublings = std::min<std::uint32_t>(
+      failuresInRow_ / kFailuresPerReadTimeoutDoubling, kMaxReadTimeoutDoublings);
   return kReadTimeout * (1U << doublings);
 }
 
 Duration StoreReader::backOffAfter(ReadOutcome outcome) {
   const bool patient = complete_ || outcome == ReadOutcome::kThrottled;
-  const Duration longest = patient ? kReadBackOffLongest : startBackOff_;
-  const std::uint32_t doublings = std::min<std::uint32_t>(failuresInRow_, kReadTimeoutDoublings);
-  return upTo(std::min<Duration>(kReadBackOff * (1U << doublings), longest));
+  const Duration longest = patient ? kMaxReadBackoff : startBackOff_;
+  const std::uint32_t doublings = std::min<std::uint32_t>(failuresInRow_, kMaxReadTimeoutDoublings);
+  return upTo(std::min<Duration>(kReadBackoff * (1U << doublings), longest));
 }
 
 Duration StoreReader::upTo(Duration span) {
--- a/src/core/store_reader.h
+++ b/src/core/store_reader.h
@@ -227,13 +227,13 @@
 
   StoreSink& sink_;
   Random& random_;
-  std::chrono::milliseconds watchWait_ = kWatchWait;
-  Duration currentFor_ = kViewCurrentFor;
-  Duration rareTryAfter_ = kReadBackOffCovered;
+  std::chrono::milliseconds watchWait_ = kWatchMaxWait;
+  Duration currentFor_ = kViewFreshnessPeriod;
+  Duration rareTryAfter_ = kReadBackoffWithSeed;
   bool active_ = true;
   bool covered_ = false;
   std::optional<Duration> othersFail_;
-  Duration startBackOff_ = kReadBackOffAtStart;
+  Duration startBackOff_ = kStartupReadBackoff;
   bool urgent_ = false;
   UnderWay underWay_ = UnderWay::kNothing;
   bool listing_ = true;
--- a/src/core/token_domains.cc
+++ b/src/core/token_failure_domains.cc
@@ -9,7 +9,7 @@
 
 namespace cobaltgauge::core {
 
-std::vector<BackendAddress> TokenSteering::takeReachProbes(Time now) {
+std::vector<BackendAddress> TokenSteering::takeReachabilityProbes(Time now) {
   std::vector<BackendAddress> probes;
   const std::vector<ServiceId> services = serving_.TakeProbes(now);
   for (const ServiceId service : services) {
@@ -20,28 +20,28 @@
       probes.push_back(*backends_.find(candidates[random_.below(candidates.size())].id));
     }
   }
-  noteReach();
+  updateReachability();
   return probes;
 }
 
-void TokenSteering::onReachProbe(BackendId backend, ProbeResult result, Time now) {
+void TokenSteering::onReachabilityProbe(BackendId backend, ProbeResult result, Time now) {
   if (result == ProbeResult::kUnproven) {
     return;
   }
   serving_.OnProbe(backend, result, now);
-  noteReach();
+  updateReachability();
   if (result == ProbeResult::kConnected) {
     health_.onProbe(backend, result, now);
   }
 }
 
-void TokenSteering::noteReach() {
+void TokenSteering::updateReachability() {
   if (std::exchange(wasServing_, serving_.IsServing()) != serving_.IsServing()) {
-    health_.onReachChanged();
+    health_.onReachabilityChanged();
   }
 }
 
-std::vector<BackendId> TokenSteering::membersOf(const BackendGroup& group) {
+std::vector<BackendId> TokenSteering::groupMembers(const BackendGroup& group) {
   std::vector<BackendId> members;
   for (const PlacementCandidate& candidate : backends_.candidates(group.Service)) {
     if (candidate.zone == group.Zone) {
@@ -51,11 +51,11 @@
   return members;
 }
 
-void TokenSteering::noteAnswerOfDomain(BackendId backend, Time now) {
+void TokenSteering::recordDomainResponse(BackendId backend, Time now) {
   // Back ends of a zone that is taken out may be all that is reached; they serve no opening.
   if (backends_.takesNewFlows(backend)) {
     serving_.OnAnswer(now);
-    noteReach();
+    updateReachability();
   }
   if (silentGroups_.IsEmpty()) {
     return;
@@ -71,7 +71,7 @@
     return probes;
   }
   for (const GroupProbes& due : silentGroups_.TakeProbes(now)) {
-    std::vector<BackendId> members = membersOf(due.Group);
+    std::vector<BackendId> members = groupMembers(due.Group);
     for (std::size_t count = 0; count < due.Count && !members.empty(); ++count) {
       std::swap(members[random_.below(members.size())], members.back());
       probes.push_back(*backends_.find(members.back()));
@@ -82,9 +82,9 @@
 }
 
 void TokenSteering::onGroupNotice(const GroupNotice& notice, Time now) {
-  const std::size_t count = std::min(notice.Groups.size(), kMostGroupsNoticed);
+  const std::size_t count = std::min(notice.Groups.size(), kMaxGroupsPerNotice);
   for (std::size_t index = 0; index < count; ++index) {
-    if (!membersOf(notice.Groups[index]).empty()) {
+    if (!groupMembers(notice.Groups[index]).empty()) {
       silentGroups_.OnNotice(notice.Groups[index], now);
     }
   }
@@ -97,7 +97,7 @@
   }
   const BackendGroup group{candidate->service, candidate->zone};
   if (silentGroups_.OnProbe(backend, group, result, now)) {
-    silentGroups_.Mark(group, membersOf(group), now);
+    silentGroups_.Mark(group, groupMembers(group), now);
   }
 }
 
--- a/src/core/token_flows.cc
+++ b/src/core/token_flows.cc
@@ -9,21 +9,21 @@
 
 TokenFlow& TokenFlows::put(const TokenFlow& flow, Time now) {
   erase(flow.fingerprint);
-  if (index_.size() >= capacity_ && !order_.empty()) {
-    drop(order_.begin());
+  if (index_.size() >= capacity_ && !lruOrder_.empty()) {
+    drop(lruOrder_.begin());
     ++evictions_;
   }
-  order_.push_back(flow);
-  const auto added = std::prev(order_.end());
+  lruOrder_.push_back(flow);
+  const auto added = std::prev(lruOrder_.end());
   added->lastSeen = now;
   index_.emplace(flow.fingerprint, added);
-  ++open_[flow.backend];
+  ++openCounts_[flow.backend];
   return *added;
 }
 
 void TokenFlows::touch(TokenFlow& flow, Time now) {
   flow.lastSeen = now;
-  order_.splice(order_.end(), order_, index_.at(flow.fingerprint));
+  lruOrder_.splice(lruOrder_.end(), lruOrder_, index_.at(flow.fingerprint));
 }
 
 void TokenFlows::erase(FlowFingerprint fingerprint) {
@@ -34,28 +34,28 @@
 }
 
 void TokenFlows::expire(Time now, Duration idle) {
-  while (!order_.empty() && now - order_.front().lastSeen > idle) {
-    drop(order_.begin());
+  while (!lruOrder_.empty() && now - lruOrder_.front().lastSeen > idle) {
+    drop(lruOrder_.begin());
   }
 }
 
-std::uint32_t TokenFlows::openOn(BackendId backend) const {
-  const auto found = open_.find(backend);
-  return found == open_.end() ? 0 : found->second;
+std::uint32_t TokenFlows::openFlowCount(BackendId backend) const {
+  const auto found = openCounts_.find(backend);
+  return found == openCounts_.end() ? 0 : found->second;
 }
 
 std::vector<BackendId> TokenFlows::backendsWithFlows() const {
   std::vector<BackendId> backends;
-  backends.reserve(open_.size());
-  for (const auto& [backend, count] : open_) {
+  backends.reserve(openCounts_.size());
+  for (const auto& [backend, count] : openCounts_) {
     backends.push_back(backend);
   }
   return backends;
 }
 
-std::vector<TokenFlow> TokenFlows::takeAllOf(BackendId backend) {
+std::vector<TokenFlow> TokenFlows::removeFlowsOf(BackendId backend) {
   std::vector<TokenFlow> taken;
-  for (auto flow = order_.begin(); flow != order_.end();) {
+  for (auto flow = lruOrder_.begin(); flow != lruOrder_.end();) {
     const auto next = std::next(flow);
     if (flow->backend == backend && !flow->closed) {
       taken.push_back(*flow);
@@ -69,23 +69,23 @@
 void TokenFlows::close(TokenFlow& flow) {
   if (!flow.closed) {
     flow.closed = true;
-    countOut(flow.backend);
+    decrementOpenCount(flow.backend);
   }
 }
 
-void TokenFlows::countOut(BackendId backend) {
-  const auto open = open_.find(backend);
+void TokenFlows::decrementOpenCount(BackendId backend) {
+  const auto open = openCounts_.find(backend);
   if (--open->second == 0) {
-    open_.erase(open);
+    openCounts_.erase(open);
   }
 }
 
-void TokenFlows::drop(Order::iterator flow) {
+void TokenFlows::drop(LruList::iterator flow) {
   if (!flow->closed) {
-    countOut(flow->backend);
+    decrementOpenCount(flow->backend);
   }
   index_.erase(flow->fingerprint);
-  order_.erase(flow);
+  lruOrder_.erase(flow);
 }
 
 }  // namespace cobaltgauge::core
--- a/src/core/token_flows.h
+++ b/src/core/token_flows.h
@@ -19,12 +19,12 @@
   BackendId backend = kNoBackend;
   Time openedAt{};  ///< When the first opening was placed here; zero where it was not.
   Time lastSeen{};
-  Time dataSentAt{};          ///< When the caller's last new data passed.
-  bool dataAnswered = true;   ///< New bytes were acknowledged since.
-  std::uint32_t dataEnd = 0;  ///< Sequence number after the caller's last data.
+  Time dataSentAt{};             ///< When the caller's last new data passed.
+  bool dataAcknowledged = true;  ///< New bytes were acknowledged since.
+  std::uint32_t dataEnd = 0;     ///< Sequence number after the caller's last data.
   std::uint32_t acknowledgement = 0;
-  bool closed = false;    ///< Its caller has closed it; kept for the packets that follow.
-  bool answered = false;  ///< The caller has shown that the back end answered.
+  bool closed = false;     ///< Its caller has closed it; kept for the packets that follow.
+  bool responded = false;  ///< The caller has shown that the back end responded.
 };
 
 class TokenFlows {
@@ -47,26 +47,26 @@
   void expire(Time now, Duration idle);
 
   /// @return how many flows of the back end passed here and are open.
-  std::uint32_t openOn(BackendId backend) const;
+  std::uint32_t openFlowCount(BackendId backend) const;
   /// @return every back end that has an open flow here.
   std::vector<BackendId> backendsWithFlows() const;
   /// Forgets every flow of a back end. @return the forgotten flows.
-  std::vector<TokenFlow> takeAllOf(BackendId backend);
+  std::vector<TokenFlow> removeFlowsOf(BackendId backend);
 
   std::size_t size() const { return index_.size(); }
   std::uint64_t evictions() const { return evictions_; }
 
  private:
-  using Order = std::list<TokenFlow>;
+  using LruList = std::list<TokenFlow>;
 
   void erase(FlowFingerprint fingerprint);
-  void drop(Order::iterator flow);
-  void countOut(BackendId backend);
+  void drop(LruList::iterator flow);
+  void decrementOpenCount(BackendId backend);
 
   std::size_t capacity_;
-  Order order_;  ///< Idle for longest first.
-  std::unordered_map<FlowFingerprint, Order::iterator> index_;
-  std::unordered_map<BackendId, std::uint32_t> open_;
+  LruList lruOrder_;  ///< Idle for longest first.
+  std::unordered_map<FlowFingerprint, LruList::iterator> index_;
+  std::unordered_map<BackendId, std::uint32_t> openCounts_;
   std::uint64_t evictions_ = 0;
 };
 
--- a/src/core/token_openings.cc
+++ b/src/core/token_openings.cc
@@ -23,29 +23,30 @@
                         : Verdict(Drop{DropReason::kStaleView});
   }
   decision_.route = route->route.name;
-  TokenFlow* known = flows_.find(fingerprintOf(packet.flow, options_.hashSeed));
-  const bool isRepeat =
-      known != nullptr && known->openedAt != Time{} && now - known->openedAt < kOpeningSpan;
-  if (!isRepeat) {
+  TokenFlow* flow = flows_.find(fingerprintOf(packet.flow, options_.hashSeed));
+  const bool isRetransmission =
+      flow != nullptr && flow->openedAt != Time{} && now - flow->openedAt < kOpeningRetryWindow;
+  if (!isRetransmission) {
     return placeOpening(packet, *route, RouteReason::kPlaced, kNoBackend, now);
   }
-  if (known->answered) {
+  if (flow->responded) {
     // The flow is open. A second back end that answered would take its later packets.
     return Drop{DropReason::kStaleOpening};
   }
-  outcomes_.OnCopy(known->fingerprint, now);
-  const bool takesFlows = backends_.takesNewFlows(known->backend) ||
-                          backends_.hasVanishedSince(known->backend, now - kVanishedFallback);
-  if (health_.isSuspected(known->backend, now) || !takesFlows) {
-    const BackendId silent = known->backend;
-    return placeOpening(packet, *route, RouteReason::kReplaced, silent, now);
+  outcomes_.OnCopy(flow->fingerprint, now);
+  const bool takesFlows =
+      backends_.takesNewFlows(flow->backend) ||
+      backends_.hasVanishedSince(flow->backend, now - kVanishedBackendGracePeriod);
+  if (health_.isSuspected(flow->backend, now) || !takesFlows) {
+    const BackendId previous = flow->backend;
+    return placeOpening(packet, *route, RouteReason::kReplaced, previous, now);
   }
-  return repeatOpening(*known, now);
+  return forwardRetransmission(*flow, now);
 }
 
-Verdict TokenSteering::repeatOpening(TokenFlow& flow, Time now) {
+Verdict TokenSteering::forwardRetransmission(TokenFlow& flow, Time now) {
   decision_.backend = flow.backend;
-  decision_.openFlows = flows_.openOn(flow.backend);
+  decision_.openFlows = flows_.openFlowCount(flow.backend);
   flows_.touch(flow, now);
   const BackendAddress& backend = *backends_.find(flow.backend);
   if (load_ != nullptr) {
@@ -56,25 +57,25 @@
 
 Verdict TokenSteering::placeOpening(const PacketSummary& packet, RouteEntry& route,
                                     RouteReason reason, BackendId avoided, Time now) {
-  if (!mayOpen(packet, route.route, reason, now)) {
+  if (!admitOpening(packet, route.route, reason, now)) {
     return refuse(RefuseReason::kNoRoom, RefusalCertainty::kNotRun);
   }
   const PlacementChoice choice = chooser_.Choose(route, avoided, now);
   decision_.candidates = choice.Candidates;
   decision_.slowCandidates = choice.SlowCandidates;
-  decision_.coldCandidates = choice.ColdCandidates;
+  decision_.warmingUpCandidates = choice.ColdCandidates;
   decision_.spilled = choice.Spilled;
   if (choice.Id == kNoBackend) {
-    return withoutBackend(packet, route.route, reason, now);
+    return verdictWithoutBackend(packet, route.route, reason, now);
   }
   emptySince_.erase(route.route.endpoint);
-  if (choice.Busy && packet.openingCopy < kLastOpeningCopy) {
+  if (choice.Busy && packet.openingRetransmission < kMaxOpeningRetransmissions) {
     return Drop{DropReason::kPaced};
   }
   TokenFlow flow{fingerprintOf(packet.flow, options_.hashSeed), packet.flow, choice.Id};
   flow.openedAt = now;
   decision_.backend = choice.Id;
-  decision_.openFlows = flows_.openOn(choice.Id);
+  decision_.openFlows = flows_.openFlowCount(choice.Id);
   flows_.put(flow, now);
   const BackendAddress& backend = *backends_.find(choice.Id);
   outcomes_.OnOpening(
@@ -87,19 +88,19 @@
   serving_.OnOpening(choice.Id, backend.service, now);
   pacer_.onOpening(choice.Id, choice.Capacity, now);
   if (choice.Cold) {
-    warmUps_.OnOpening(choice.Id, now);
+    warmUpBudget_.OnOpening(choice.Id, now);
   }
   return forward(backend, reason);
 }
 
-bool TokenSteering::mayOpen(const PacketSummary& packet, const Route& route, RouteReason reason,
-                            Time now) {
+bool TokenSteering::admitOpening(const PacketSummary& packet, const Route& route,
+                                 RouteReason reason, Time now) {
   // A later copy may follow one that another daemon sent on. A stale view may lack back ends.
-  const bool isFirst = packet.openingCopy == 0 && reason == RouteReason::kPlaced;
+  const bool isFirst = packet.openingRetransmission == 0 && reason == RouteReason::kPlaced;
   if (admission_ == nullptr || !isFirst) {
     return true;
   }
-  const bool admitted = admission_->Admit(route, now, viewCurrent_ && viewWhole_);
+  const bool admitted = admission_->Admit(route, now, viewCurrent_ && viewCoversAllBackends_);
   for (const RouteTarget& target : route.targets) {
     const ServiceId service = serviceIdOf(target.service);
     spill_.SetLimited(service, admission_->IsLimited(service));
@@ -107,23 +108,24 @@
   return admitted;
 }
 
-Verdict TokenSteering::withoutBackend(const PacketSummary& packet, const Route& route,
-                                      RouteReason reason, Time now) {
-  if (!viewCurrent_ || !viewWhole_) {
+Verdict TokenSteering::verdictWithoutBackend(const PacketSummary& packet, const Route& route,
+                                             RouteReason reason, Time now) {
+  if (!viewCurrent_ || !viewCoversAllBackends_) {
     return Drop{DropReason::kStaleView};
   }
-  if (decision_.coldCandidates > 0) {
+  if (decision_.warmingUpCandidates > 0) {
     // They bear another one soon. Only an opening that was never sent on is refused.
-    const bool isLast = packet.openingCopy >= kLastOpeningCopy && reason == RouteReason::kPlaced;
+    const bool isLast = packet.openingRetransmission >= kMaxOpeningRetransmissions &&
+                        reason == RouteReason::kPlaced;
     return isLast ? refuse(RefuseReason::kWarmingUp, RefusalCertainty::kNotRun)
                   : Verdict(Drop{DropReason::kPaced});
   }
   // A repeated opening may have been answered through another daemon before the zones were out.
-  if (packet.openingCopy == 0 && isEvacuated(route)) {
+  if (packet.openingRetransmission == 0 && isEvacuated(route)) {
     return refuse(RefuseReason::kEvacuated, RefusalCertainty::kNotRun);
   }
   const Time emptySince = emptySince_.try_emplace(route.endpoint, now).first->second;
-  if (now - emptySince < kEmptyServicePatience) {
+  if (now - emptySince < kEmptyServiceGracePeriod) {
     return Drop{DropReason::kEmptyService};
   }
   return refuse(RefuseReason::kNoBackend, RefusalCertainty::kNotRun);
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -14,10 +14,10 @@
 
 constexpr Duration kMaintenanceInterval = 1s;
 std::unique_ptr<TokenReach> makeReach(const TokenSteeringOptions& options) {
-  if (!options.home) {
+  if (!options.localAddress) {
     return nullptr;
   }
-  return std::make_unique<TokenReach>(AddressTokenCodec(*options.home, options.hashSeed));
+  return std::make_unique<TokenReach>(AddressTokenCodec(*options.localAddress, options.hashSeed));
 }
 
 }  // namespace
@@ -30,8 +30,8 @@
       backends_(options.longestFlow, weights, reach_.get()),
       routes_(random.below(UINT64_MAX)),
       flows_(options.flowEntries),
-      warmUps_(options.daemon),
-      chooser_({backends_, routes_, flows_, pacer_, warmUps_, answerTimes_, random, spill_}) {
+      warmUpBudget_(options.daemonId),
+      chooser_({backends_, routes_, flows_, pacer_, warmUpBudget_, answerTimes_, random, spill_}) {
   chooser_.AddDemotion(suspectDemotion_);
   chooser_.AddDemotion(outlierDemotion_);
   chooser_.AddDemotion(silentGroups_);
@@ -39,18 +39,18 @@
 
 Verdict TokenSteering::onPacket(const PacketSummary& packet, Time now) {
   const bool opens = packet.kind == PacketKind::kOpening;
-  const Verdict verdict = opens ? steerOpening(packet, now) : steerOpen(packet, now);
+  const Verdict verdict = opens ? steerOpening(packet, now) : steerEstablished(packet, now);
   counters_.count(verdict);
   return verdict;
 }
 
-Verdict TokenSteering::steerOpen(const PacketSummary& packet, Time now) {
+Verdict TokenSteering::steerEstablished(const PacketSummary& packet, Time now) {
   if (viewCurrent_ && routes_.wasDropped(packet.flow.destination)) {
     return refuse(RefuseReason::kRouteDropped, RefusalCertainty::kOutcomeUnknown);
   }
   const BackendAddress* backend = backends_.findByToken(packet.token);
   if (backend == nullptr) {
-    return steerWithoutView(packet);
+    return steerUnknownBackend(packet);
   }
   if (backends_.hasEnded(backend->id)) {
     resetFlowsOf(backend->id, RefuseReason::kBackendEnded);
@@ -59,11 +59,11 @@
   if (options_.resetDeadFlows && health_.isDead(backend->id)) {
     return refuse(RefuseReason::kBackendDead, RefusalCertainty::kOutcomeUnknown);
   }
-  noteSigns(packet, *backend, now);
+  observePacket(packet, *backend, now);
   return forward(*backend, RouteReason::kCarriedToken);
 }
 
-Verdict TokenSteering::steerWithoutView(const PacketSummary& packet) {
+Verdict TokenSteering::steerUnknownBackend(const PacketSummary& packet) {
   const std::optional<Endpoint> endpoint = reach_ ? reach_->Resolve(packet.token) : std::nullopt;
   if (!endpoint) {
     return Drop{DropReason::kUnknownToken};
@@ -75,17 +75,17 @@
   return ForwardToBackend{backend, routes_.version(), RouteReason::kReached, packet.token};
 }
 
-std::optional<std::uint16_t> TokenSteering::takeFoundPort() {
+std::optional<std::uint16_t> TokenSteering::takeDiscoveredPort() {
   return reach_ ? reach_->TakeFoundPort() : std::nullopt;
 }
 
-void TokenSteering::noteSigns(const PacketSummary& packet, const BackendAddress& backend,
-                              Time now) {
+void TokenSteering::observePacket(const PacketSummary& packet, const BackendAddress& backend,
+                                  Time now) {
   const FlowFingerprint fingerprint = fingerprintOf(packet.flow, options_.hashSeed);
   outcomes_.OnPacket(fingerprint, packet, now);
   TokenFlow* flow = flows_.find(fingerprint);
   if (packet.kind == PacketKind::kClosing) {
-    noteGone(fingerprint);
+    recordFlowEnd(fingerprint);
     if (flow != nullptr) {
       flows_.close(*flow);
     }
@@ -97,48 +97,48 @@
   if (flow == nullptr || flow->backend != backend.id) {
     TokenFlow learned{fingerprint, packet.flow, backend.id};
     learned.acknowledgement = packet.acknowledgement;
-    learned.answered = true;
-    noteData(packet, flows_.put(learned, now), backend, now);
+    learned.responded = true;
+    recordData(packet, flows_.put(learned, now), backend, now);
     return;
   }
   const bool newBytes = packet.acknowledgement != flow->acknowledgement;
-  if (newBytes || !flow->answered) {
-    noteAnswer(*flow, backend, now);
+  if (newBytes || !flow->responded) {
+    recordResponse(*flow, backend, now);
     flow->acknowledgement = packet.acknowledgement;
   }
-  noteData(packet, *flow, backend, now);
+  recordData(packet, *flow, backend, now);
   flows_.touch(*flow, now);
 }
 
-void TokenSteering::noteAnswer(TokenFlow& flow, const BackendAddress& backend, Time now) {
+void TokenSteering::recordResponse(TokenFlow& flow, const BackendAddress& backend, Time now) {
   health_.onAnswer(flow.backend, now);
-  noteAnswerOfDomain(flow.backend, now);
-  if (outliers_ != nullptr && !flow.dataAnswered) {
+  recordDomainResponse(flow.backend, now);
+  if (outliers_ != nullptr && !flow.dataAcknowledged) {
     outliers_->OnAnswered();
   }
-  if (latencies_ != nullptr && !flow.answered && flow.openedAt != Time{}) {
-    latencies_->onOpeningAnswered(now - flow.openedAt);
-  } else if (latencies_ != nullptr && !flow.dataAnswered) {
-    latencies_->onDataAnswered(now - flow.dataSentAt);
+  if (latencyObserver_ != nullptr && !flow.responded && flow.openedAt != Time{}) {
+    latencyObserver_->onOpeningResponse(now - flow.openedAt);
+  } else if (latencyObserver_ != nullptr && !flow.dataAcknowledged) {
+    latencyObserver_->onDataAcknowledged(now - flow.dataSentAt);
   }
-  if (!flow.dataAnswered) {
+  if (!flow.dataAcknowledged) {
     answerTimes_.OnAnswer(backend.id, backend.service, now - flow.dataSentAt, now);
   }
-  if (load_ != nullptr && (!flow.answered || !flow.dataAnswered)) {
+  if (load_ != nullptr && (!flow.responded || !flow.dataAcknowledged)) {
     load_->OnAnswered(flow.fingerprint, now);
   }
-  flow.answered = true;
-  flow.dataAnswered = true;
+  flow.responded = true;
+  flow.dataAcknowledged = true;
 }
 
-void TokenSteering::noteGone(FlowFingerprint flow) {
+void TokenSteering::recordFlowEnd(FlowFingerprint flow) {
   if (load_ != nullptr) {
     load_->OnGone(flow);
   }
 }
 
-void TokenSteering::noteData(const PacketSummary& packet, TokenFlow& flow,
-                             const BackendAddress& backend, Time now) {
+void TokenSteering::recordData(const PacketSummary& packet, TokenFlow& flow,
+                               const BackendAddress& backend, Time now) {
   if (packet.dataLength == 0) {
     return;
   }
@@ -147,7 +147,7 @@
   if (isNew) {
     flow.dataEnd = end;
     flow.dataSentAt = now;
-    flow.dataAnswered = false;
+    flow.dataAcknowledged = false;
     if (load_ != nullptr) {
       load_->OnRequest(flow.fingerprint, {backend.service, backend.zone}, now);
     }
@@ -156,7 +156,7 @@
       deadlines_.Expect(flow.fingerprint, flow.dataEnd, now);
     }
   } else {
-    health_.onRepeatedData(flow.backend, flow.dataSentAt, now);
+    health_.onRetransmittedData(flow.backend, flow.dataSentAt, now);
   }
 }
 
@@ -168,10 +168,10 @@
   return ForwardToBackend{backend, routes_.version(), reason, backends_.tokenFor(backend)};
 }
 
-void TokenSteering::noteLateAnswers(Time now) {
+void TokenSteering::reportLateResponses(Time now) {
   for (const AnswerDeadlines::Expected& expected : deadlines_.TakeDue(now)) {
     const TokenFlow* flow = flows_.find(expected.Flow);
-    const bool isLate = flow != nullptr && !flow->closed && !flow->dataAnswered &&
+    const bool isLate = flow != nullptr && !flow->closed && !flow->dataAcknowledged &&
                         flow->dataEnd == expected.DataEnd;
     if (isLate) {
       outliers_->OnLate(flow->backend);
@@ -181,7 +181,7 @@
 
 void TokenSteering::onResume() {
   serving_.OnResume();
-  noteReach();
+  updateReachability();
   silentGroups_.OnResume();
   deadlines_.Clear();
   outcomes_.Clear();
@@ -226,24 +226,24 @@
   }
 }
 
-std::vector<TokenFlow> TokenSteering::forgetFlowsOf(BackendId backend) {
-  std::vector<TokenFlow> flows = flows_.takeAllOf(backend);
+std::vector<TokenFlow> TokenSteering::discardFlowsOf(BackendId backend) {
+  std::vector<TokenFlow> flows = flows_.removeFlowsOf(backend);
   for (const TokenFlow& flow : flows) {
     outcomes_.Forget(flow.fingerprint);
-    noteGone(flow.fingerprint);
+    recordFlowEnd(flow.fingerprint);
   }
   return flows;
 }
 
 void TokenSteering::resetFlowsOf(BackendId backend, RefuseReason reason) {
-  for (const TokenFlow& flow : forgetFlowsOf(backend)) {
+  for (const TokenFlow& flow : discardFlowsOf(backend)) {
     resets_.push_back({flow.key, flow.acknowledgement, backend, reason});
   }
 }
 
 std::vector<FlowReset> TokenSteering::takeResets() { return std::exchange(resets_, {}); }
 
-void TokenSteering::resetFlowsOfEnded() {
+void TokenSteering::resetFlowsOfEndedBackends() {
   for (const BackendId id : flows_.backendsWithFlows()) {
     if (backends_.hasEnded(id)) {
       resetFlowsOf(id, RefuseReason::kBackendEnded);
@@ -251,20 +251,20 @@
   }
 }
 
-void TokenSteering::forgetRestarted() {
+void TokenSteering::discardRestartedBackends() {
   for (const BackendId id : backends_.takeRestarted()) {
-    health_.forget(id);
+    health_.remove(id);
     answerTimes_.Forget(id);
     if (outliers_ != nullptr) {
       outliers_->Forget(id);
     }
-    forgetFlowsOf(id);
+    discardFlowsOf(id);
   }
 }
 
 void TokenSteering::onTick(Time now) {
-  forgetRestarted();
-  noteLateAnswers(now);
+  discardRestartedBackends();
+  reportLateResponses(now);
   outcomes_.OnTick(now);
   serving_.OnTick(now);
   if (now < nextMaintenance_) {
@@ -274,13 +274,13 @@
   flows_.expire(now, std::max<Duration>(options_.flowIdleTimeout, routes_.idleTimeout()));
   health_.expire(now);
   pacer_.expire(now);
-  warmUps_.Expire(now);
+  warmUpBudget_.Expire(now);
   silentGroups_.Expire(now);
   answerTimes_.Expire(now);
   if (admission_ != nullptr) {
     admission_->Expire(now);
   }
-  resetFlowsOfEnded();
+  resetFlowsOfEndedBackends();
   backends_.forgetDeparted(now);
   routes_.forgetDropped(now, options_.longestFlow);
 }
--- a/src/core/token_steering.h
+++ b/src/core/token_steering.h
@@ -43,10 +43,10 @@
   std::size_t flowEntries = 1U << 16U;
   Duration flowIdleTimeout = std::chrono::seconds(15);
   Duration longestFlow = std::chrono::seconds(60);  ///< No flow gets older.
-  std::uint64_t daemon = 0;                         ///< Tells daemons apart.
+  std::uint64_t daemonId = 0;                       ///< Tells daemons apart.
   bool resetDeadFlows = true;  ///< Else a proof of death steers new flows only.
   /// An address of this daemon; tokens hold addresses that lie near it. None: tokens are hashes.
-  std::optional<IpAddress> home;
+  std::optional<IpAddress> localAddress;
 };
 
 /// How an opening was decided, for logs.
@@ -56,8 +56,9 @@
   std::uint32_t openFlows = 0;     ///< On the back end, as far as seen here.
   std::size_t candidates = 0;      ///< Back ends that could have been chosen.
   std::size_t slowCandidates = 0;  ///< Of those that were compared: passed over for their answers.
-  std::size_t coldCandidates = 0;  ///< Of those that were compared: cold, and given all they bear.
-  bool spilled = false;            ///< Left the preferred zone for want of room.
+  std::size_t warmingUpCandidates =
+      0;                 ///< Of those that were compared: cold, and given all they bear.
+  bool spilled = false;  ///< Left the preferred zone for want of room.
   ConfigurationVersion version = 0;  ///< Of the routes that decided.
 };
 
@@ -66,9 +67,9 @@
  public:
   virtual ~LatencyObserver() = default;
   /// From placing an opening to the caller's first packet that shows an answer.
-  virtual void onOpeningAnswered(Duration latency) = 0;
+  virtual void onOpeningResponse(Duration latency) = 0;
   /// From a caller's new data to its first acknowledgement of new bytes.
-  virtual void onDataAnswered(Duration latency) = 0;
+  virtual void onDataAcknowledged(Duration latency) = 0;
 };
 
 class TokenSteering : public FlowSteering {
@@ -77,7 +78,7 @@
   TokenSteering(const TokenSteeringOptions& options, PlacementWeights& weights, Random& random);
 
   /// @param observer outlives the steering; null for none.
-  void setLatencyObserver(LatencyObserver* observer) { latencies_ = observer; }
+  void setLatencyObserver(LatencyObserver* observer) { latencyObserver_ = observer; }
 
   Verdict onPacket(const PacketSummary& packet, Time now) override;
   void onTick(Time now) override;
@@ -85,17 +86,17 @@
   /// Says whether the view is complete, whether it is in step with the store, as far as this
   /// daemon can know, and whether it holds every back end. Openings are placed only by a complete
   /// view; that there is no back end or no room is said only by a whole one.
-  void setViewState(bool complete, bool current, bool whole = true) {
+  void setViewState(bool complete, bool current, bool coversAllBackends = true) {
     viewComplete_ = complete;
     viewCurrent_ = current;
-    viewWhole_ = whole;
+    viewCoversAllBackends_ = coversAllBackends;
   }
   bool hasCompleteView() const { return viewComplete_; }
   /// Call after the view has changed: flows of back ends whose address another one has taken are
   /// given up at once, so that the next request on an idle one opens elsewhere and is not lost.
   void onViewChanged() {
-    forgetRestarted();
-    resetFlowsOfEnded();
+    discardRestartedBackends();
+    resetFlowsOfEndedBackends();
   }
   /// Call after the process was suspended: openings that waited meanwhile have been sent again,
   /// and a late second answer would break their flow. They are dropped until onQueueDrained().
@@ -104,15 +105,15 @@
   void onQueueDrained() { openingsAreStale_ = false; }
 
   /// Says how many daemons there are; too high a number is the safe side.
-  void setFleet(std::uint32_t daemons) { warmUps_.SetFleet(daemons); }
+  void setFleetSize(std::uint32_t daemons) { warmUpBudget_.SetFleet(daemons); }
 
   /// @return back ends whose address should be connected to; answer each by onProbe().
   std::vector<BackendAddress> takeProbes(Time now);
   void onProbe(BackendId backend, ProbeResult result, Time now);
   /// @return back ends to be connected to, to learn whether any is reached; answer each by
-  /// onReachProbe().
-  std::vector<BackendAddress> takeReachProbes(Time now);
-  void onReachProbe(BackendId backend, ProbeResult result, Time now);
+  /// onReachabilityProbe().
+  std::vector<BackendAddress> takeReachabilityProbes(Time now);
+  void onReachabilityProbe(BackendId backend, ProbeResult result, Time now);
   /// @return back ends to be connected to, to learn whether all of their group are gone; answer
   /// each by onGroupProbe().
   std::vector<BackendAddress> takeGroupProbes(Time now);
@@ -151,7 +152,7 @@
 
   /// @return the port of the back ends where it was found out since the last call: packets with
   /// unknown tokens may be decided again.
-  std::optional<std::uint16_t> takeFoundPort();
+  std::optional<std::uint16_t> takeDiscoveredPort();
 
   /// @return flows whose callers are to be told that their back end is gone.
   std::vector<FlowReset> takeResets();
@@ -170,41 +171,41 @@
 
  private:
   Verdict steerOpening(const PacketSummary& packet, Time now);
-  Verdict steerOpen(const PacketSummary& packet, Time now);
+  Verdict steerEstablished(const PacketSummary& packet, Time now);
   /// Decides a packet of an open flow whose back end is in no view.
-  Verdict steerWithoutView(const PacketSummary& packet);
-  Verdict repeatOpening(TokenFlow& flow, Time now);
+  Verdict steerUnknownBackend(const PacketSummary& packet);
+  Verdict forwardRetransmission(TokenFlow& flow, Time now);
   Verdict placeOpening(const PacketSummary& packet, RouteEntry& route, RouteReason reason,
                        BackendId avoided, Time now);
   /// @return what an opening gets where no back end of its route takes flows.
-  Verdict withoutBackend(const PacketSummary& packet, const Route& route, RouteReason reason,
-                         Time now);
+  Verdict verdictWithoutBackend(const PacketSummary& packet, const Route& route, RouteReason reason,
+                                Time now);
   /// @return false for an opening that is to be refused, of which no copy was ever sent on.
-  bool mayOpen(const PacketSummary& packet, const Route& route, RouteReason reason, Time now);
+  bool admitOpening(const PacketSummary& packet, const Route& route, RouteReason reason, Time now);
   /// @return true where operators have taken out zones of the route's back ends.
   bool isEvacuated(const Route& route) const;
-  void noteSigns(const PacketSummary& packet, const BackendAddress& backend, Time now);
+  void observePacket(const PacketSummary& packet, const BackendAddress& backend, Time now);
   /// Notes that the back end of a flow answered. @param backend that of the flow.
-  void noteAnswer(TokenFlow& flow, const BackendAddress& backend, Time now);
-  void noteAnswerOfDomain(BackendId backend, Time now);
+  void recordResponse(TokenFlow& flow, const BackendAddress& backend, Time now);
+  void recordDomainResponse(BackendId backend, Time now);
   /// Takes back what was believed of back ends where this daemon was cut off from all.
-  void noteReach();
+  void updateReachability();
   /// @return all of a group that take new flows.
-  std::vector<BackendId> membersOf(const BackendGroup& group);
+  std::vector<BackendId> groupMembers(const BackendGroup& group);
   /// @param backend that of the flow.
-  void noteData(const PacketSummary& packet, TokenFlow& flow, const BackendAddress& backend,
-                Time now);
+  void recordData(const PacketSummary& packet, TokenFlow& flow, const BackendAddress& backend,
+                  Time now);
   /// Notes that nothing is in flight on a flow any more.
-  void noteGone(FlowFingerprint flow);
+  void recordFlowEnd(FlowFingerprint flow);
   /// Reports back ends whose answers are overdue.
-  void noteLateAnswers(Time now);
+  void reportLateResponses(Time now);
   /// @return the flows, which count for nothing any more.
-  std::vector<TokenFlow> forgetFlowsOf(BackendId backend);
+  std::vector<TokenFlow> discardFlowsOf(BackendId backend);
   void resetFlowsOf(BackendId backend, RefuseReason reason);
-  void resetFlowsOfEnded();
+  void resetFlowsOfEndedBackends();
   /// Forgets what was seen of earlier runs of back ends. Their flows ended with them, and are left
   /// for the back ends to reset: some may have been opened at the new run already.
-  void forgetRestarted();
+  void discardRestartedBackends();
   Verdict refuse(RefuseReason reason, RefusalCertainty certainty) const;
   Verdict forward(const BackendAddress& backend, RouteReason reason) const;
 
@@ -219,7 +220,7 @@
   bool wasServing_ = true;
   SilentGroups silentGroups_;
   OpeningPacer pacer_;
-  WarmUpBudget warmUps_;
+  WarmUpBudget warmUpBudget_;
   std::unordered_map<Endpoint, Time, EndpointHash> emptySince_;  ///< Routes without back ends.
   std::vector<FlowReset> resets_;
   VerdictCounters counters_;
@@ -234,10 +235,10 @@
   OutlierDemotion outlierDemotion_;
   ZoneSpill spill_;
   BackendChooser chooser_;
-  LatencyObserver* latencies_ = nullptr;
+  LatencyObserver* latencyObserver_ = nullptr;
   bool viewComplete_ = false;
   bool viewCurrent_ = false;
-  bool viewWhole_ = false;
+  bool viewCoversAllBackends_ = false;
   bool openingsAreStale_ = false;
   Time nextMaintenance_{};
 };
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -58,10 +58,10 @@
   std::uint32_t length = 0;  ///< Inner packet length in bytes.
   // Only packets whose format carries a token have the fields below.
   SteeringToken token = kNoToken;
-  std::uint32_t openingCopy = 0;      ///< How often the caller has sent this opening before.
-  std::uint32_t acknowledgement = 0;  ///< Bytes of the back end that the caller has received.
-  std::uint32_t sequence = 0;         ///< Of the first byte of data.
-  std::uint32_t dataLength = 0;       ///< Bytes of data.
+  std::uint32_t openingRetransmission = 0;  ///< How often the caller has sent this opening before.
+  std::uint32_t acknowledgement = 0;        ///< Bytes of the back end that the caller has received.
+  std::uint32_t sequence = 0;               ///< Of the first byte of data.
+  std::uint32_t dataLength = 0;             ///< Bytes of data.
 };
 
 /// Keyed 64-bit hash of a flow key. Zero is never a fingerprint.
--- a/src/core/verdict.cc
+++ b/src/core/verdict.cc
@@ -10,16 +10,16 @@
   } else if (const auto* drop = std::get_if<Drop>(&verdict)) {
     ++dropped[static_cast<std::size_t>(drop->reason)];
   } else {
-    ++passedToPeer;
+    ++forwardedToPeer;
   }
 }
 
-bool mayChangeWithView(DropReason reason) {
+bool dependsOnView(DropReason reason) {
   return reason == DropReason::kNoConfiguration || reason == DropReason::kUnknownToken ||
          reason == DropReason::kEmptyService;
 }
 
-bool wantsBackend(DropReason reason) {
+bool awaitsBackend(DropReason reason) {
   return reason == DropReason::kUnknownToken || reason == DropReason::kEmptyService ||
          reason == DropReason::kPaced;
 }
--- a/src/core/verdict.h
+++ b/src/core/verdict.h
@@ -108,15 +108,15 @@
   std::array<std::uint64_t, kRouteReasons> routed{};    ///< By RouteReason.
   std::array<std::uint64_t, kDropReasons> dropped{};    ///< By DropReason.
   std::array<std::uint64_t, kRefuseReasons> refused{};  ///< By RefuseReason.
-  std::uint64_t passedToPeer = 0;
+  std::uint64_t forwardedToPeer = 0;
 
   void count(const Verdict& verdict);
 };
 
 /// @return true where a newer view may decide the packet otherwise.
-bool mayChangeWithView(DropReason reason);
+bool dependsOnView(DropReason reason);
 /// @return true where the packet lacks a back end that may just be registering.
-bool wantsBackend(DropReason reason);
+bool awaitsBackend(DropReason reason);
 
 const char* toString(RouteReason reason);
 const char* toString(DropReason reason);
--- a/src/core/view_exchange.cc
+++ b/src/core/view_exchange.cc
@@ -32,7 +32,7 @@
     return;
   }
   std::erase(peers_, peer);
-  if (peers_.size() >= kMostViewPeers) {
+  if (peers_.size() >= kMaxViewPeers) {
     peers_.erase(peers_.begin());
   }
   peers_.push_back(peer);
@@ -49,9 +49,9 @@
     return true;
   }
   if (!reader_.isComplete()) {
-    return now - std::max(startedAt_, reader_.lastAnswerAt()) >= kStoreFirstTry;
+    return now - std::max(startedAt_, reader_.lastAnswerAt()) >= kStoreStartupTimeout;
   }
-  return now - lastCurrentAt_ >= kStoreSilence;
+  return now - lastCurrentAt_ >= kStoreSilenceTimeout;
 }
 
 void ViewExchange::onTick(Time now) {
@@ -73,9 +73,9 @@
 }
 
 void ViewExchange::askSome(Time now) {
-  nextAskAt_ = now + kAskPeersEvery;
+  nextAskAt_ = now + kPeerQueryInterval;
   std::vector<Endpoint> choice = peers_;
-  while (choice.size() > kPeersAsked) {
+  while (choice.size() > kPeersPerQuery) {
     choice.erase(choice.begin() + static_cast<std::ptrdiff_t>(random_.below(choice.size())));
   }
   for (const Endpoint& peer : choice) {
--- a/src/core/warmup/warm_up_budget.h
+++ b/src/core/warmup/warm_up_budget.h
@@ -46,7 +46,7 @@
   std::uint32_t GetLimit(BackendId backend, double perSecond) const;
 
   std::uint64_t Daemon;
-  std::uint32_t Fleet = kLargestFleet;
+  std::uint32_t Fleet = kMaxFleetSize;
   std::unordered_map<BackendId, std::deque<Time>> Openings;
 };
 
--- a/src/daemon/backend_probes.cc
+++ b/src/daemon/backend_probes.cc
@@ -14,12 +14,12 @@
       reader_(reader),
       prober_(context, [this](const core::BackendAddress& backend,
                               core::ProbeResult result) { onProbe(backend, result); }),
-      reachProber_(context, core::kReachPatience,
+      reachProber_(context, core::kReadinessProbeTimeout,
                    [this](const core::BackendAddress& backend, core::ProbeResult result) {
-                     steering_.onReachProbe(backend.id, result, bootTime());
+                     steering_.onReachabilityProbe(backend.id, result, bootTime());
                      carryOutDomains(bootTime());
                    }),
-      groupProber_(context, core::kGroupPatience,
+      groupProber_(context, core::kGroupProbeTimeout,
                    [this](const core::BackendAddress& backend, core::ProbeResult result) {
                      steering_.onGroupProbe(backend.id, result, bootTime());
                      carryOutDomains(bootTime());
@@ -37,7 +37,7 @@
 }
 
 void BackendProbes::carryOutDomains(core::Time now) {
-  for (const core::BackendAddress& backend : steering_.takeReachProbes(now)) {
+  for (const core::BackendAddress& backend : steering_.takeReachabilityProbes(now)) {
     reachProber_.probe(backend);
   }
   for (const core::BackendAddress& backend : steering_.takeGroupProbes(now)) {
--- a/src/daemon/packet_port.cc
+++ b/src/daemon/packet_port.cc
@@ -100,7 +100,7 @@
 void PacketPort::keepIfUndecided(const core::Verdict& verdict, net::ByteView packet,
                                  core::Time arrivedAt) {
   const auto* drop = std::get_if<core::Drop>(&verdict);
-  if (drop != nullptr && core::mayChangeWithView(drop->reason)) {
+  if (drop != nullptr && core::dependsOnView(drop->reason)) {
     pending_.add({packet.begin(), packet.end()}, arrivedAt);
   }
 }
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -48,9 +48,9 @@
   options.flowEntries = settings.flowTableEntries;
   options.longestFlow = settings.longestFlow;
   options.resetDeadFlows = settings.resetDeadFlows;
-  options.daemon = static_cast<std::uint64_t>(core::memberIdOf(settings.name));
+  options.daemonId = static_cast<std::uint64_t>(core::memberIdOf(settings.name));
   if (settings.tokenForm == TokenForm::kAddress) {
-    options.home = settings.dataListen.address;
+    options.localAddress = settings.dataListen.address;
   }
   return options;
 }
@@ -233,7 +233,7 @@
   if (!reader_.isComplete()) {
     reader_.onWanted(now);
     store_->start();
-  } else if (drop != nullptr && core::wantsBackend(drop->reason)) {
+  } else if (drop != nullptr && core::awaitsBackend(drop->reason)) {
     reader_.onWanted(now);
   }
   logVerdict(packet, verdict, steering_, reader_.revision());
@@ -241,7 +241,7 @@
 
 void TokenDaemon::onDrained(core::Time now) {
   steering_.onQueueDrained();
-  if (const std::optional<std::uint16_t> port = steering_.takeFoundPort()) {
+  if (const std::optional<std::uint16_t> port = steering_.takeDiscoveredPort()) {
     logEvent(LogLevel::kInfo, "backend_port_found", {{"port", std::to_string(*port)}});
     packets_.retryPending(now);
   }
@@ -255,7 +255,7 @@
   updater_.reportExpired();
   peers_.OnTick(now);
   const std::uint32_t fleet = peers_.GetRelay().CountFleet(now);
-  steering_.setFleet(fleet);
+  steering_.setFleetSize(fleet);
   changeLines_.setFleet(fleet);
   changeLines_.onTick(now);
   for (const core::AdmissionState& change : admission_.TakeChanges(now)) {
@@ -278,7 +278,7 @@
 void TokenDaemon::noticeSuspension(core::Time now) {
   const core::Duration gap = now - lastActive_;
   lastActive_ = now;
-  if (gap < core::kFreezeGap) {
+  if (gap < core::kSuspensionGap) {
     return;
   }
   logEvent(LogLevel::kWarning, "resumed",
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -51,14 +51,14 @@
   const core::OpeningDecision& decision = steering.lastDecision();
   logEvent(LogLevel::kInfo, "opening_forwarded",
            {{"flow", flowText(packet.flow)},
-            {"copy", std::to_string(packet.openingCopy)},
+            {"copy", std::to_string(packet.openingRetransmission)},
             {"rule", toString(forward.reason)},
             {"backend", hex(forward.backend.id)},
             {"route", decision.route},
             {"open_flows", std::to_string(decision.openFlows)},
             {"candidates", std::to_string(decision.candidates)},
             {"slow", std::to_string(decision.slowCandidates)},
-            {"cold", std::to_string(decision.coldCandidates)},
+            {"cold", std::to_string(decision.warmingUpCandidates)},
             {"spilled", decision.spilled ? "yes" : "no"},
             {"version", std::to_string(decision.version)},
             {"revision", toString(viewRevision)}});
@@ -95,7 +95,7 @@
            {{"flow", flowText(packet.flow)},
             {"reason", reason},
             {"token", std::to_string(static_cast<std::uint32_t>(packet.token))},
-            {"copy", std::to_string(packet.openingCopy)},
+            {"copy", std::to_string(packet.openingRetransmission)},
             {"version", std::to_string(steering.routes().version())},
             {"revision", toString(viewRevision)}});
 }
@@ -241,7 +241,7 @@
 void logOutlier(core::BackendId backend, core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, "outlier_found",
            {{"backend", hex(backend)},
-            {"reporters_at_least", std::to_string(core::kOutlierReporters)},
+            {"reporters_at_least", std::to_string(core::kMinOutlierReporters)},
             {"revision", toString(viewRevision)}});
 }
 
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -318,11 +318,11 @@
 LatencyHistograms::LatencyHistograms()
     : openings_(kLatencyBounds), answers_(kLatencyBounds), storeReads_(kLatencyBounds) {}
 
-void LatencyHistograms::onOpeningAnswered(core::Duration latency) {
+void LatencyHistograms::onOpeningResponse(core::Duration latency) {
   openings_.Observe(seconds(latency));
 }
 
-void LatencyHistograms::onDataAnswered(core::Duration latency) {
+void LatencyHistograms::onDataAcknowledged(core::Duration latency) {
   answers_.Observe(seconds(latency));
 }
 
--- a/src/daemon/token_metrics.h
+++ b/src/daemon/token_metrics.h
@@ -21,8 +21,8 @@
  public:
   LatencyHistograms();
 
-  void onOpeningAnswered(core::Duration latency) override;
-  void onDataAnswered(core::Duration latency) override;
+  void onOpeningResponse(core::Duration latency) override;
+  void onDataAcknowledged(core::Duration latency) override;
   void onStoreAnswer(core::Duration latency);
 
   /// @return one family for each histogram.
--- a/tests/bench/token_benchmark.cc
+++ b/tests/bench/token_benchmark.cc
@@ -53,7 +53,7 @@
   core::Time now = 100s;
 };
 
-void packetOfAnOpenFlow(benchmark::State& state) {
+void establishedFlowPacket(benchmark::State& state) {
   TokenDaemon daemon(state.range(0));
   std::vector<core::PacketSummary> packets;
   for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
@@ -72,9 +72,9 @@
   }
   bench::reportAllocations(state, before);
 }
-BENCHMARK(packetOfAnOpenFlow)->Arg(15)->Arg(120)->Arg(5600);
+BENCHMARK(establishedFlowPacket)->Arg(15)->Arg(120)->Arg(5600);
 
-void openingOfAFlow(benchmark::State& state) {
+void openingPacket(benchmark::State& state) {
   TokenDaemon daemon(state.range(0));
   std::uint32_t caller = 0;
   const std::uint64_t before = bench::allocations();
@@ -83,10 +83,10 @@
   }
   bench::reportAllocations(state, before);
 }
-BENCHMARK(openingOfAFlow)->Arg(15)->Arg(120)->Arg(1000)->Arg(5600)->Arg(10'000);
+BENCHMARK(openingPacket)->Arg(15)->Arg(120)->Arg(1000)->Arg(5600)->Arg(10'000);
 
 /// While back ends come and go: one leaves and another is back before each opening.
-void openingAfterAChange(benchmark::State& state) {
+void openingPacketAfterBackendChange(benchmark::State& state) {
   TokenDaemon daemon(state.range(0));
   const auto backends = static_cast<std::uint64_t>(state.range(0));
   core::Revision revision = 1'000'000;
@@ -105,10 +105,10 @@
     benchmark::DoNotOptimize(daemon.open(++caller % kCallers));
   }
 }
-BENCHMARK(openingAfterAChange)->Arg(100)->Arg(1000)->Arg(10'000);
+BENCHMARK(openingPacketAfterBackendChange)->Arg(100)->Arg(1000)->Arg(10'000);
 
 /// After a zone was taken out every list of candidates is collected anew.
-void evacuationAndOpening(benchmark::State& state) {
+void openingPacketAfterEvacuation(benchmark::State& state) {
   TokenDaemon daemon(state.range(0));
   core::Revision revision = 1'000'000;
   std::uint32_t caller = 0;
@@ -117,7 +117,7 @@
     benchmark::DoNotOptimize(daemon.open(++caller % kCallers));
   }
 }
-BENCHMARK(evacuationAndOpening)->Arg(120)->Arg(5600);
+BENCHMARK(openingPacketAfterEvacuation)->Arg(120)->Arg(5600);
 
 }  // namespace
 
--- a/tests/core/admission/refused_openings_test.cc
+++ b/tests/core/admission/refused_openings_test.cc
@@ -24,7 +24,7 @@
     this->steering.routes().offer(routes, this->now);
     for (std::uint16_t port = 1; port <= 200; ++port) {
       this->now += 5ms;
-      if (ruleOf(this->open(port))) {
+      if (routeReasonOf(this->open(port))) {
         this->LastPlaced = port;
       }
       this->End(port);
@@ -53,7 +53,7 @@
   std::uint16_t FindRefused(std::uint32_t copy)
   {
     for (std::uint16_t port = 1000; port < 1100; ++port) {
-      if (refusalOf(this->open(port, copy)) == RefuseReason::kNoRoom) {
+      if (refuseReasonOf(this->open(port, copy)) == RefuseReason::kNoRoom) {
         return port;
       }
     }
@@ -81,7 +81,7 @@
 BOOST_AUTO_TEST_CASE(an_opening_that_was_sent_on_is_not_refused)
 {
   BOOST_REQUIRE(this->FindRefused(0) != 0);
-  BOOST_TEST(!refusalOf(this->open(this->LastPlaced)).has_value());
+  BOOST_TEST(!refuseReasonOf(this->open(this->LastPlaced)).has_value());
 }
 
 BOOST_AUTO_TEST_CASE(the_higher_rank_is_placed_while_the_lower_is_refused)
@@ -89,7 +89,7 @@
   this->OpenHigh(2000);
   this->now += core::kAdmissionStep;
   BOOST_REQUIRE(this->FindRefused(0) != 0);
-  BOOST_TEST((refusalOf(this->OpenHigh(3000)) != RefuseReason::kNoRoom));
+  BOOST_TEST((refuseReasonOf(this->OpenHigh(3000)) != RefuseReason::kNoRoom));
 }
 
 BOOST_AUTO_TEST_CASE(a_view_that_may_be_stale_refuses_nobody)
--- a/tests/core/balancer_test.cc
+++ b/tests/core/balancer_test.cc
@@ -240,7 +240,7 @@
   pass(1s);
   BOOST_TEST(first.isFenced());
   BOOST_TEST(second.isFenced());
-  pass(kFenceAloneWait);
+  pass(kFencePeerTimeout);
   BOOST_TEST(!first.isFenced());
   BOOST_TEST(!second.isFenced());
 }
@@ -268,7 +268,7 @@
   const auto early = std::get<Refuse>(first.onPacket(packetFrom(2), now));
   BOOST_TEST((early.reason == RefuseReason::kNewFlowRate));
   BOOST_TEST((early.certainty == RefusalCertainty::kOutcomeUnknown));
-  pass(kRetransmissionSpan);
+  pass(kMaxTransmitSpan);
   first.onPacket(packetFrom(3), now);
   const auto late = std::get<Refuse>(first.onPacket(packetFrom(4), now));
   BOOST_TEST((late.certainty == RefusalCertainty::kNotRun));
--- a/tests/core/domains/cut_zone_test.cc
+++ b/tests/core/domains/cut_zone_test.cc
@@ -15,10 +15,10 @@
   CutZoneFixture()
   {
     for (std::uint8_t id = 1; id <= 8; ++id) {
-      this->putInZone("far", id);
+      this->putBackendInZone("far", id);
     }
     for (std::uint8_t id = 9; id <= 12; ++id) {
-      this->putInZone("near", id);
+      this->putBackendInZone("near", id);
     }
   }
 
@@ -59,13 +59,13 @@
                                      : ProbeResult::kTimedOut,
                              this->now);
     }
-    const auto probes = this->steering.takeReachProbes(this->now);
+    const auto probes = this->steering.takeReachabilityProbes(this->now);
     for (const core::BackendAddress& backend : probes) {
       const bool reached = healed || !IsFar(backend.id);
-      this->steering.onReachProbe(backend.id,
-                                  reached ? ProbeResult::kConnected
-                                          : ProbeResult::kTimedOut,
-                                  this->now);
+      this->steering.onReachabilityProbe(backend.id,
+                                         reached ? ProbeResult::kConnected
+                                                 : ProbeResult::kTimedOut,
+                                         this->now);
     }
     return probes.size();
   }
@@ -86,7 +86,7 @@
   this->TakeOutNear();
   this->OpenWhileCut(2s);
   BOOST_TEST(!this->IsServing());
-  this->now += core::kServingProbeEvery;
+  this->now += core::kReadinessProbeInterval;
   BOOST_TEST(this->Probe(true) == 1U);
   BOOST_TEST(this->IsServing());
 }
@@ -96,7 +96,7 @@
 {
   BackendId backend = core::kNoBackend;
   while (backend == core::kNoBackend || IsFar(backend)) {
-    backend = this->openAndAnswer(++this->Port);
+    backend = this->establishFlow(++this->Port);
   }
   const std::uint16_t old = this->Port;
   this->TakeOutNear();
@@ -118,7 +118,7 @@
   this->OpenWhileCut(2s);
   BOOST_REQUIRE(!this->IsServing());
   BOOST_REQUIRE(this->steering.health().counters().declaredDead > 1U);
-  this->now += core::kServingProbeEvery;
+  this->now += core::kReadinessProbeInterval;
   this->Probe(true);
   BOOST_REQUIRE(this->IsServing());
   for (std::uint8_t id = 1; id <= 3; ++id) {
@@ -154,7 +154,7 @@
   this->OpenWhileCut(2s);
   BOOST_REQUIRE(!this->IsServing());
   this->steering.backends().retainOnly({}, ++this->revision, this->now);
-  this->now += core::kServingProbeEvery;
+  this->now += core::kReadinessProbeInterval;
   BOOST_TEST(this->Probe(false) == 0U);
   BOOST_TEST(this->IsServing());
 }
--- a/tests/core/domains/dead_group_test.cc
+++ b/tests/core/domains/dead_group_test.cc
@@ -21,10 +21,10 @@
     this->steering.backends().retainOnly({}, ++this->revision, this->now);
     this->now += 60s;
     for (std::uint8_t id = 11; id <= 50; ++id) {
-      this->putInZone("near", id);
+      this->putBackendInZone("near", id);
     }
     for (std::uint8_t id = 61; id <= 80; ++id) {
-      this->putInZone("far", id);
+      this->putBackendInZone("far", id);
     }
   }
 
@@ -97,7 +97,7 @@
 BOOST_AUTO_TEST_CASE(back_again_they_take_openings_within_a_probe)
 {
   this->Open(3s, ProbeResult::kRefused);
-  this->now += core::kGroupProbeEvery;
+  this->now += core::kGroupProbeInterval;
   this->Probe(ProbeResult::kConnected);
   BOOST_TEST(this->steering.silentGroups().CountSilent(this->now) == 0U);
 }
--- a/tests/core/domains/serving_readiness_test.cc
+++ b/tests/core/domains/serving_readiness_test.cc
@@ -79,8 +79,8 @@
   BOOST_REQUIRE(changes.size() == 1U);
   BOOST_TEST(!changes[0].Serving);
   BOOST_TEST((changes[0].Reason == ServingReason::kUnreached));
-  BOOST_TEST(changes[0].Silent >= core::kSilentToLeave);
-  BOOST_TEST(changes[0].TimedOut >= core::kProbesToLeave);
+  BOOST_TEST(changes[0].Silent >= core::kMinUnresponsiveForNotReady);
+  BOOST_TEST(changes[0].TimedOut >= core::kMinFailedProbesForNotReady);
   BOOST_TEST(this->Readiness.GetCounters().Left == 1U);
 }
 
@@ -135,7 +135,7 @@
 BOOST_AUTO_TEST_CASE(it_returns_at_once_when_a_probe_connects)
 {
   this->Leave();
-  this->Tick(core::kServingProbeEvery);
+  this->Tick(core::kReadinessProbeInterval);
   BOOST_TEST(this->Probe(ProbeResult::kConnected) == 1U);
   BOOST_TEST(this->Readiness.IsServing());
   BOOST_TEST((this->Readiness.GetReason() == ServingReason::kConnected));
--- a/tests/core/domains/silent_groups_test.cc
+++ b/tests/core/domains/silent_groups_test.cc
@@ -82,7 +82,7 @@
   this->OnProbe(1, ProbeResult::kRefused);
   BOOST_TEST(!this->ComesLast(40));
   BOOST_TEST(this->Probe(2, ProbeResult::kRefused) ==
-             core::kUnconnectedForGroup - 1);
+             core::kGroupUnreachableThreshold - 1);
   BOOST_TEST(this->ComesLast(40));
   BOOST_TEST(!this->ComesLast(41, kElsewhere));
   BOOST_TEST(this->Groups.TakeFound().size() == 1U);
@@ -148,8 +148,8 @@
     probes += this->Probe(7, ProbeResult::kRefused);
     BOOST_TEST(this->ComesLast(40));
   }
-  BOOST_TEST(probes == 4s / core::kGroupProbeEvery);
-  this->Now += core::kGroupSilentFor;
+  BOOST_TEST(probes == 4s / core::kGroupProbeInterval);
+  this->Now += core::kGroupUnreachableTtl;
   BOOST_TEST(!this->ComesLast(40));
   this->Groups.Expire(this->Now);
   BOOST_TEST(this->Groups.IsEmpty());
@@ -160,7 +160,7 @@
   this->Groups.OnNotice(kGroup, this->Now);
   BOOST_TEST(!this->ComesLast(1));
   BOOST_TEST(this->Probe(1, ProbeResult::kRefused) ==
-             core::kUnconnectedForGroup);
+             core::kGroupUnreachableThreshold);
   BOOST_TEST(this->ComesLast(40));
 }
 
@@ -174,7 +174,7 @@
     BOOST_TEST(!this->ComesLast(1));
     this->Now += 10ms;
   }
-  BOOST_TEST(probes <= 10 * core::kUnconnectedForGroup);
+  BOOST_TEST(probes <= 10 * core::kGroupUnreachableThreshold);
 }
 
 /// Daemons in a ring that tell each other what they found.
@@ -242,7 +242,7 @@
           id, act == 1 ? ProbeResult::kTimedOut : ProbeResult::kRefused);
       }
     }
-    daemon.Now += core::kGroupSilentFor;
+    daemon.Now += core::kGroupUnreachableTtl;
     for (std::uint64_t id = 1; id <= kMembers; ++id) {
       RC_ASSERT(!daemon.ComesLast(id));
     }
--- a/tests/core/load/fleet_load_test.cc
+++ b/tests/core/load/fleet_load_test.cc
@@ -114,8 +114,8 @@
   this->Load.OnReport(ReportOf(50, this->Now, UINT32_MAX), this->Now);
   this->Tick();
   BOOST_TEST(this->Load.GetLoad(KeyOf(1)).InFlight <=
-             core::kLargestFleet * core::kMostOfOneDaemon);
-  BOOST_TEST(this->Load.CountDaemons() <= core::kLargestFleet);
+             core::kMaxFleetSize * core::kMostOfOneDaemon);
+  BOOST_TEST(this->Load.CountDaemons() <= core::kMaxFleetSize);
   this->Now += 10s;
   this->Tick();
   BOOST_TEST(this->GetUtilization().value() == 0.0);
--- a/tests/core/load/opening_outcomes_test.cc
+++ b/tests/core/load/opening_outcomes_test.cc
@@ -336,7 +336,7 @@
 
 BOOST_FIXTURE_TEST_CASE(the_steering_tells_of_what_it_placed, SteeringFixture)
 {
-  const core::BackendId backend = this->openAndAnswer(1);
+  const core::BackendId backend = this->establishFlow(1);
   this->send(1, backend, 1, kRequest);
   this->now += 40ms;
   this->Close(1, backend, kUsual);
--- a/tests/core/outlier/answer_times_test.cc
+++ b/tests/core/outlier/answer_times_test.cc
@@ -69,12 +69,12 @@
 BOOST_AUTO_TEST_CASE(too_few_answers_say_nothing)
 {
   this->Answer(0, 20);
-  for (std::uint32_t i = 1; i < core::kAnswersForMean; ++i) {
+  for (std::uint32_t i = 1; i < core::kMinResponsesForMean; ++i) {
     this->Times.OnAnswer(BackendId{ 77 }, this->Service, 1s, this->Now);
     BOOST_TEST(this->Slowness(77) == 1.0);
   }
   this->Times.OnAnswer(BackendId{ 77 }, this->Service, 1s, this->Now);
-  BOOST_TEST(this->Slowness(77) == core::kSlowestCounted);
+  BOOST_TEST(this->Slowness(77) == core::kMaxLatencyRatio);
 }
 
 BOOST_AUTO_TEST_CASE(a_back_end_that_got_nothing_more_is_tried_again)
@@ -82,7 +82,7 @@
   this->Answer(0, 20);
   this->Answer(1, 10);
   BOOST_TEST(this->Slowness(1) > 2.5);
-  this->Now += core::kAnswerTimesMemory + 1s;
+  this->Now += core::kResponseTimeTtl + 1s;
   BOOST_TEST(this->Slowness(1) == 1.0);
   this->Times.Expire(this->Now);
   BOOST_TEST(this->Slowness(1) == 1.0);
--- a/tests/core/outlier/outlier_detector_test.cc
+++ b/tests/core/outlier/outlier_detector_test.cc
@@ -69,7 +69,7 @@
 BOOST_AUTO_TEST_CASE(old_observations_do_not_count)
 {
   this->Report(5, kSilent);
-  this->Now += core::kOutlierEvidence + 1ms;
+  this->Now += core::kOutlierEvidenceWindow + 1ms;
   this->Report(6, kSilent);
   BOOST_TEST(!this->Root.IsOutlier(kSilent));
 }
@@ -78,7 +78,7 @@
 {
   this->Report(5, kSilent);
   this->Report(6, kSilent);
-  this->Now += core::kOutlierFor - 1ms;
+  this->Now += core::kOutlierEjectionTime - 1ms;
   this->Root.Expire(this->Now);
   BOOST_TEST(this->Root.IsOutlier(kSilent));
   this->Now += 1ms;
@@ -89,7 +89,7 @@
 BOOST_AUTO_TEST_CASE(a_list_that_is_not_renewed_ends)
 {
   this->Follower.Adopt({ kSilent }, this->Now);
-  this->Follower.Expire(this->Now + core::kOutlierFor);
+  this->Follower.Expire(this->Now + core::kOutlierEjectionTime);
   BOOST_TEST(!this->Follower.IsOutlier(kSilent));
 }
 
@@ -124,7 +124,7 @@
     this->Follower.OnLate(BackendId{ id });
   }
   BOOST_TEST(this->Follower.TakeReport().observations.size() ==
-             core::kMostObservations);
+             core::kMaxObservations);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
@@ -136,8 +136,9 @@
   core::AnswerDeadlines deadlines;
   deadlines.Expect(core::FlowFingerprint{ 1 }, 10, 1s);
   deadlines.Expect(core::FlowFingerprint{ 2 }, 20, 2s);
-  BOOST_TEST(deadlines.TakeDue(1s + core::kAnswerLate - 1ms).empty());
-  const auto due = deadlines.TakeDue(1s + core::kAnswerLate);
+  BOOST_TEST(
+    deadlines.TakeDue(1s + core::kLateResponseThreshold - 1ms).empty());
+  const auto due = deadlines.TakeDue(1s + core::kLateResponseThreshold);
   BOOST_REQUIRE(due.size() == 1U);
   BOOST_TEST((due[0].Flow == core::FlowFingerprint{ 1 }));
   BOOST_TEST(due[0].DataEnd == 10U);
@@ -148,10 +149,10 @@
 BOOST_AUTO_TEST_CASE(the_queue_is_bounded)
 {
   core::AnswerDeadlines deadlines;
-  for (std::size_t i = 0; i < 2 * core::kMostExpectedAnswers; ++i) {
+  for (std::size_t i = 0; i < 2 * core::kMaxPendingResponses; ++i) {
     deadlines.Expect(core::FlowFingerprint{ i }, 1, 1s);
   }
-  BOOST_TEST(deadlines.TakeDue(10s).size() == core::kMostExpectedAnswers);
+  BOOST_TEST(deadlines.TakeDue(10s).size() == core::kMaxPendingResponses);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/placement_balance_test.cc
+++ b/tests/core/placement_balance_test.cc
@@ -14,7 +14,7 @@
 constexpr std::size_t kZones = 5;
 
 /// Weighs back ends of the first zone eight to one, as daemons of that zone do.
-class FirstZoneFirst : public core::PlacementWeights {
+class PreferFirstZoneWeights : public core::PlacementWeights {
  public:
   std::uint32_t weightOf(const core::Registration& registration) override {
     return registration.zone == "0" ? 800 : 100;
@@ -36,7 +36,7 @@
 std::map<BackendId, double> openFlows(const std::vector<core::Registration>& backends,
                                       std::size_t daemons, std::size_t flowsEach) {
   std::map<BackendId, double> flows;
-  FirstZoneFirst weights;
+  PreferFirstZoneWeights weights;
   for (std::size_t daemon = 0; daemon < daemons; ++daemon) {
     sim::SeededRandom random(daemon);
     core::TokenSteering steering(core::TokenSteeringOptions{}, weights, random);
@@ -64,7 +64,7 @@
 // Each opening compared 32 back ends that follow each other in the order of their keys. One whose
 // neighbours were of other zones was compared with few of its own zone and got up to three times
 // its share (cflc-quotes-large: busiest back end 3.3 times the mean, at random 1.8).
-BOOST_AUTO_TEST_CASE(neighbours_by_key_do_not_decide_who_gets_the_flows) {
+BOOST_AUTO_TEST_CASE(placement_is_independent_of_key_order) {
   sim::SeededRandom random(1);
   const std::vector<core::Registration> backends = makeBackends(480, random);
   const std::map<BackendId, double> flows = openFlows(backends, 60, 60);
--- a/tests/core/proof/living_flows_property_test.cc
+++ b/tests/core/proof/living_flows_property_test.cc
@@ -22,8 +22,8 @@
   LivingFleet()
   {
     for (std::uint16_t port = 0; port < kFlows; ++port) {
-      this->now += core::kOpeningSpacing;
-      this->Flows.push_back(this->openAndAnswer(port));
+      this->now += core::kOpeningPacingInterval;
+      this->Flows.push_back(this->establishFlow(port));
     }
   }
 
@@ -104,7 +104,7 @@
                  10,
                  this->Sent);
     // It may be dropped, where the view has forgotten the back end.
-    RC_ASSERT(!refusalOf(verdict).has_value());
+    RC_ASSERT(!refuseReasonOf(verdict).has_value());
   }
 
   /// What a trial says of a back end that answers: see DeathTrial's property.
--- a/tests/core/proof/witnesses_test.cc
+++ b/tests/core/proof/witnesses_test.cc
@@ -42,11 +42,11 @@
 BOOST_AUTO_TEST_CASE(the_last_heard_of_its_zone_and_of_another_are_asked)
 {
   for (std::uint8_t id = 11; id <= 14; ++id) {
-    this->putInZone("near", id);
+    this->putBackendInZone("near", id);
     this->Hear(id);
   }
   for (std::uint8_t id = 21; id <= 23; ++id) {
-    this->putInZone("far", id);
+    this->putBackendInZone("far", id);
     this->Hear(id);
   }
   const std::vector<core::Endpoint> expected{ this->EndpointOf(13),
@@ -59,7 +59,7 @@
   this->Hear(2);
   this->Hear(3);
   this->Health.onOpening(BackendId{ 3 }, this->now);
-  this->now += core::kAnswerPatience + 1ms;
+  this->now += core::kResponseTimeout + 1ms;
   BOOST_TEST((this->Choose(1).front() == this->EndpointOf(2)));
 }
 
--- a/tests/core/reach/reach_steering_test.cc
+++ b/tests/core/reach/reach_steering_test.cc
@@ -15,7 +15,7 @@
 core::TokenSteeringOptions ReachingOptions()
 {
   core::TokenSteeringOptions options;
-  options.home = endpoint(1, 200, 0).address;
+  options.localAddress = endpoint(1, 200, 0).address;
   return options;
 }
 
@@ -75,10 +75,10 @@
   /// Show the blind daemon tokens of enough hosts.
   void TellPort()
   {
-    for (std::uint8_t host = 1; host <= core::kHostsForPort; ++host) {
+    for (std::uint8_t host = 1; host <= core::kMinHostsForPort; ++host) {
       this->Send(this->Blind, host, this->TokenOfHost(host));
     }
-    BOOST_REQUIRE((this->Blind.takeFoundPort() == 8000));
+    BOOST_REQUIRE((this->Blind.takeDiscoveredPort() == 8000));
   }
 
   core::SteeringToken TokenOfHost(std::uint8_t host) const
@@ -111,7 +111,8 @@
   this->TellPort();
   const core::Verdict opening = this->Blind.onPacket(
     TokenFixture::packet(9, core::PacketKind::kOpening), this->Now);
-  BOOST_TEST((TokenFixture::dropOf(opening) == DropReason::kNoConfiguration));
+  BOOST_TEST(
+    (TokenFixture::dropReasonOf(opening) == DropReason::kNoConfiguration));
   BOOST_TEST(this->Blind.takeResets().empty());
   BOOST_TEST(this->Blind.takeProbes(this->Now + 10s).empty());
 }
@@ -123,7 +124,7 @@
   this->Blind.routes().offer(makeRoutes(1, { { 1, "web" } }), this->Now);
   this->Blind.setViewState(true, true);
   const core::Verdict verdict = this->Send(this->Blind, 1, opened.token);
-  BOOST_TEST((TokenFixture::ruleOf(verdict) == RouteReason::kReached));
+  BOOST_TEST((TokenFixture::routeReasonOf(verdict) == RouteReason::kReached));
 }
 
 BOOST_AUTO_TEST_CASE(flows_of_a_dropped_route_are_reset_whatever_their_token)
@@ -135,7 +136,7 @@
   this->Blind.setViewState(true, true);
   const core::Verdict verdict = this->Send(this->Blind, 1, opened.token);
   BOOST_TEST(
-    (TokenFixture::refusalOf(verdict) == RefuseReason::kRouteDropped));
+    (TokenFixture::refuseReasonOf(verdict) == RefuseReason::kRouteDropped));
 }
 
 BOOST_AUTO_TEST_CASE(both_forms_of_a_token_reach_a_known_back_end)
@@ -185,7 +186,7 @@
 
 BOOST_AUTO_TEST_CASE(two_back_ends_of_one_host_with_one_token_use_the_hash)
 {
-  const auto& codec = core::AddressTokenCodec(*ReachingOptions().home,
+  const auto& codec = core::AddressTokenCodec(*ReachingOptions().localAddress,
                                               ReachingOptions().hashSeed);
   const core::PortCheck check = codec.GetPortCheck(this->TokenOfHost(1));
   std::uint16_t port = 8001;
@@ -203,7 +204,8 @@
     BOOST_TEST(this->Steering.backends().takesNewFlows(id));
   }
   const core::Verdict verdict = this->Send(this->Steering, 1, shared);
-  BOOST_TEST((TokenFixture::dropOf(verdict) == DropReason::kUnknownToken));
+  BOOST_TEST(
+    (TokenFixture::dropReasonOf(verdict) == DropReason::kUnknownToken));
 }
 
 BOOST_AUTO_TEST_CASE(a_forgotten_back_end_leaves_its_token)
@@ -225,7 +227,8 @@
   this->Send(this->Blind, 1, this->TokenOfHost(2), 2);
   const core::Verdict opening = this->Blind.onPacket(
     TokenFixture::packet(9, core::PacketKind::kOpening), this->Now);
-  BOOST_TEST((TokenFixture::dropOf(opening) == DropReason::kNoConfiguration));
+  BOOST_TEST(
+    (TokenFixture::dropReasonOf(opening) == DropReason::kNoConfiguration));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/reach/reach_world.h
+++ b/tests/core/reach/reach_world.h
@@ -197,7 +197,7 @@
   void Restart(WorldDaemon& daemon)
   {
     core::TokenSteeringOptions options;
-    options.home = endpoint(1, 200, 0).address;
+    options.localAddress = endpoint(1, 200, 0).address;
     daemon.Steering = std::make_unique<core::TokenSteering>(
       options, daemon.Weights, this->Random);
     daemon.SeenLeaving.clear();
@@ -251,7 +251,7 @@
     flow.Route = route;
     core::PacketSummary packet =
       this->MakePacket(flow, core::PacketKind::kOpening);
-    packet.openingCopy = 2;
+    packet.openingRetransmission = 2;
     const core::Verdict verdict = daemon.Steering->onPacket(packet, this->Now);
     const auto* forward = std::get_if<core::ForwardToBackend>(&verdict);
     const auto taker = forward ? this->Deliver(*forward) : std::nullopt;
--- a/tests/core/reach/token_reach_test.cc
+++ b/tests/core/reach/token_reach_test.cc
@@ -37,7 +37,7 @@
 BOOST_AUTO_TEST_CASE(tokens_of_four_hosts_tell_the_port)
 {
   core::TokenReach reach(kCodec);
-  for (std::uint8_t host = 1; host < core::kHostsForPort; ++host) {
+  for (std::uint8_t host = 1; host < core::kMinHostsForPort; ++host) {
     BOOST_TEST(!reach.Resolve(TokenOfHost(host)).has_value());
     // One host's packets say nothing more, however many.
     BOOST_TEST(!reach.Resolve(TokenOfHost(host)).has_value());
@@ -96,7 +96,7 @@
 BOOST_AUTO_TEST_CASE(the_latest_ports_are_kept)
 {
   core::TokenReach reach(kCodec);
-  for (std::uint16_t port = 1; port <= core::kMostKnownPorts + 1; ++port) {
+  for (std::uint16_t port = 1; port <= core::kMaxCandidatePorts + 1; ++port) {
     reach.AddPort(port);
   }
   BOOST_TEST(!reach.Resolve(TokenOfHost(1, 1)).has_value());
--- a/tests/core/relay/change_log_test.cc
+++ b/tests/core/relay/change_log_test.cc
@@ -69,7 +69,7 @@
 {
   core::ChangeLog log = MakeLog(12);
   core::RouteDelta delta;
-  delta.dropped.resize(core::kHeaviestBatch);
+  delta.dropped.resize(core::kMaxBatchItems);
   log.Append({ "op/config", 13, delta });
   log.Close(13);
   BOOST_TEST(!log.Since(12).has_value());
@@ -83,7 +83,7 @@
 // an outage, 1,528 times on a day (cflc-quotes-large trouble-3).
 BOOST_AUTO_TEST_CASE(a_heavy_batch_is_given_in_parts)
 {
-  constexpr core::Revision kLast = 10 + 3 * core::kHeaviestBatch;
+  constexpr core::Revision kLast = 10 + 3 * core::kMaxBatchItems;
   core::ChangeLog log;
   log.Close(10);
   // The store answers by key, not by revision.
@@ -99,7 +99,7 @@
     const auto excerpt = log.Since(have);
     BOOST_REQUIRE(excerpt.has_value());
     BOOST_REQUIRE(excerpt->Reached > have);
-    BOOST_TEST(excerpt->Changes.size() <= core::kHeaviestBatch);
+    BOOST_TEST(excerpt->Changes.size() <= core::kMaxBatchItems);
     for (const core::StoreChange& change : excerpt->Changes) {
       BOOST_TEST(change.revision > have);
       BOOST_TEST(change.revision <= excerpt->Reached);
@@ -109,21 +109,21 @@
   }
   BOOST_TEST(have == kLast + 5);
   BOOST_TEST(parts == 3U);
-  BOOST_TEST(changes == 3 * core::kHeaviestBatch);
+  BOOST_TEST(changes == 3 * core::kMaxBatchItems);
 }
 
 BOOST_AUTO_TEST_CASE(changes_of_one_revision_stay_together)
 {
   core::ChangeLog log;
   log.Close(10);
-  for (std::size_t i = 0; i <= core::kHeaviestBatch; ++i) {
+  for (std::size_t i = 0; i <= core::kMaxBatchItems; ++i) {
     log.Append({ "servers/" + std::to_string(i), 12, core::RemovedItem{} });
   }
   log.Append(Removal(13));
   log.Close(13);
   const auto excerpt = log.Since(10);
   BOOST_REQUIRE(excerpt.has_value());
-  BOOST_TEST(excerpt->Changes.size() == core::kHeaviestBatch + 1);
+  BOOST_TEST(excerpt->Changes.size() == core::kMaxBatchItems + 1);
   BOOST_TEST(excerpt->Reached == 12U);
 }
 
@@ -132,11 +132,11 @@
 BOOST_AUTO_TEST_CASE(a_heavy_listing_is_left_out)
 {
   core::ChangeLog log = MakeLog(12);
-  for (std::size_t i = 0; i <= core::kHeaviestBatch; ++i) {
+  for (std::size_t i = 0; i <= core::kMaxBatchItems; ++i) {
     log.Append(Removal(13 + i));
   }
   log.MarkIndivisible();
-  const core::Revision listed = 13 + core::kHeaviestBatch;
+  const core::Revision listed = 13 + core::kMaxBatchItems;
   log.Close(listed);
   BOOST_TEST(!log.Since(12).has_value());
   BOOST_TEST(log.GetBase() == listed);
@@ -144,11 +144,11 @@
 
 BOOST_AUTO_TEST_CASE(is_bounded)
 {
-  const core::ChangeLog log = MakeLog(10 + 2 * core::kHeaviestLog);
+  const core::ChangeLog log = MakeLog(10 + 2 * core::kMaxLogItems);
   BOOST_TEST(log.GetBase() >=
-             10 + 2 * core::kHeaviestLog - core::kMostBatches);
+             10 + 2 * core::kMaxLogItems - core::kMaxLogBatches);
   BOOST_TEST(!log.Since(log.GetBase() - 1).has_value());
-  BOOST_TEST(log.Since(log.GetBase())->Changes.size() <= core::kMostBatches);
+  BOOST_TEST(log.Since(log.GetBase())->Changes.size() <= core::kMaxLogBatches);
 }
 
 // Seen: a back end that had announced its end got flows from followers 3.0 s
@@ -189,7 +189,7 @@
 {
   core::ChangeLog log;
   log.Close(50);
-  for (std::size_t i = 0; i <= core::kHeaviestLog; ++i) {
+  for (std::size_t i = 0; i <= core::kMaxLogItems; ++i) {
     log.Append(Removal(51 + i));
   }
   log.Close(58);
--- a/tests/core/relay/fleet_count_test.cc
+++ b/tests/core/relay/fleet_count_test.cc
@@ -10,9 +10,9 @@
 BOOST_AUTO_TEST_CASE(the_highest_count_of_the_last_periods_holds)
 {
   core::FleetCount fleet;
-  BOOST_TEST(fleet.Get(100s) == core::kLargestFleet);
+  BOOST_TEST(fleet.Get(100s) == core::kMaxFleetSize);
   fleet.OnHeard(1, 100s);
-  BOOST_TEST(fleet.Get(101s) == core::kLargestFleet);
+  BOOST_TEST(fleet.Get(101s) == core::kMaxFleetSize);
   fleet.OnHeard(40, 104s);
   fleet.OnHeard(20, 106s);
   BOOST_TEST(fleet.Get(106s) == 40U);
@@ -29,9 +29,9 @@
   fleet.OnHeard(40, 100s);
   fleet.OnHeard(40, 110s);
   BOOST_TEST(fleet.Get(120s) == 40U);
-  BOOST_TEST(fleet.Get(170s) == core::kLargestFleet);
+  BOOST_TEST(fleet.Get(170s) == core::kMaxFleetSize);
   fleet.OnHeard(2, 171s);
-  BOOST_TEST(fleet.Get(172s) == core::kLargestFleet);
+  BOOST_TEST(fleet.Get(172s) == core::kMaxFleetSize);
 }
 
 BOOST_AUTO_TEST_CASE(all_daemons_count_the_fleet)
@@ -65,7 +65,7 @@
   this->Run(2s);
   Node& started = this->At(12);
   BOOST_TEST(started.Relay.CountFleet(started.Clock(this->Now)) ==
-             core::kLargestFleet);
+             core::kMaxFleetSize);
   this->Run(10s);
   BOOST_TEST(started.Relay.CountFleet(started.Clock(this->Now)) == 13U);
 }
--- a/tests/core/relay/follower_leases_test.cc
+++ b/tests/core/relay/follower_leases_test.cc
@@ -31,22 +31,22 @@
 BOOST_AUTO_TEST_CASE(a_full_list_takes_only_those_it_has)
 {
   core::FollowerLeases leases(endpoint(9, 250, 7720));
-  for (std::size_t i = 1; i <= core::kMostFollowers; ++i) {
+  for (std::size_t i = 1; i <= core::kMaxFollowers; ++i) {
     BOOST_TEST(leases.Grant(Follower(i), 1, 100s));
   }
   BOOST_TEST(!leases.Grant(Follower(200), 1, 100s));
   BOOST_TEST(leases.Grant(Follower(1), 1, 100s));
-  BOOST_TEST(leases.Count() == core::kMostFollowers);
+  BOOST_TEST(leases.Count() == core::kMaxFollowers);
 }
 
 BOOST_AUTO_TEST_CASE(some_others_are_named)
 {
   core::FollowerLeases leases(endpoint(9, 250, 7720));
-  for (std::size_t i = 1; i <= 2 * core::kPeersNamed; ++i) {
+  for (std::size_t i = 1; i <= 2 * core::kAdvertisedPeers; ++i) {
     leases.Grant(Follower(i), 1, 100s);
   }
   const std::vector<core::Endpoint> named = leases.NameSome(Follower(1));
-  BOOST_TEST(named.size() == core::kPeersNamed);
+  BOOST_TEST(named.size() == core::kAdvertisedPeers);
   BOOST_TEST(
     (std::find(named.begin(), named.end(), Follower(1)) == named.end()));
 }
@@ -59,7 +59,7 @@
   const auto far = [](std::size_t number) {
     return endpoint(7, static_cast<std::uint8_t>(number), 7720);
   };
-  for (std::size_t i = 1; i <= core::kFollowersFromAfar; ++i) {
+  for (std::size_t i = 1; i <= core::kMaxRemoteFollowers; ++i) {
     BOOST_TEST(leases.Grant(far(i), 1, 100s));
   }
   BOOST_TEST(!leases.Grant(far(100), 1, 100s));
@@ -68,8 +68,8 @@
   BOOST_TEST(leases.Grant(Follower(1), 1, 100s));
   BOOST_TEST(leases.Grant(endpoint(5, 1, 7720), 1, 100s));
   const std::vector<core::Endpoint> named = leases.NameSome(far(100));
-  BOOST_REQUIRE(named.size() >= core::kFollowersFromAfar);
-  for (std::size_t i = 0; i < core::kFollowersFromAfar; ++i) {
+  BOOST_REQUIRE(named.size() >= core::kMaxRemoteFollowers);
+  for (std::size_t i = 0; i < core::kMaxRemoteFollowers; ++i) {
     BOOST_TEST((named[i] == far(i + 1)));
   }
   leases.Expire(100s + core::kSubscriptionLease);
--- a/tests/core/relay/peer_clocks_test.cc
+++ b/tests/core/relay/peer_clocks_test.cc
@@ -76,9 +76,9 @@
 {
   const core::ViewUpdate update = this->Answer(100s, 100s, 99s);
   this->Clocks.Note(update, 100s);
-  this->Clocks.Expire(100s + core::kClockMemory);
+  this->Clocks.Expire(100s + core::kClockOffsetTtl);
   BOOST_TEST(this->Clocks.GetConfirmation(update, 100s).has_value());
-  this->Clocks.Expire(100s + core::kClockMemory + 1ms);
+  this->Clocks.Expire(100s + core::kClockOffsetTtl + 1ms);
   BOOST_TEST(!this->Clocks.GetConfirmation(update, 100s).has_value());
   this->Clocks.Note(update, 100s);
   this->Clocks.Forget(this->Peer);
--- a/tests/core/relay/relay_changes_test.cc
+++ b/tests/core/relay/relay_changes_test.cc
@@ -40,11 +40,11 @@
   this->Grow(30);
   this->Run(5s);
   const std::uint64_t before = this->CountCalls();
-  this->AddBackends(5 * core::kHeaviestBatch);
+  this->AddBackends(5 * core::kMaxBatchItems);
   this->ChangeRoutes(9);
   BOOST_TEST((this->TimeUntilInForce(9) <= 4 * kStep));
   for (auto& node : this->Nodes) {
-    BOOST_TEST(node->Backends.activeCount() == 1 + 5 * core::kHeaviestBatch);
+    BOOST_TEST(node->Backends.activeCount() == 1 + 5 * core::kMaxBatchItems);
     BOOST_TEST(node->Reader.isCurrent(node->Clock(this->Now)));
   }
   this->Run(1s);
@@ -61,7 +61,7 @@
   Node& reader = *this->Readers()[0];
   Node& follower = this->At(8);
   follower.PeersCut = true;
-  this->AddBackends(2 * core::kHeaviestBatch);
+  this->AddBackends(2 * core::kMaxBatchItems);
   this->Run(200ms);
   const core::Time clock = follower.Clock(this->Now);
   follower.Relay.TakeMessages();
@@ -78,7 +78,7 @@
   }
   BOOST_TEST(questions == 1U);
   // The question or its answer may be lost.
-  follower.Relay.OnUpdate(update, clock + core::kAskPeersEvery);
+  follower.Relay.OnUpdate(update, clock + core::kPeerQueryInterval);
   BOOST_TEST(follower.Relay.TakeMessages().size() == 1U);
 }
 
@@ -90,7 +90,7 @@
   Node& follower = this->At(8);
   const core::Revision before = follower.Reader.revision();
   const core::Time confirmed = follower.Reader.confirmedAt();
-  this->AddBackends(2 * core::kHeaviestBatch);
+  this->AddBackends(2 * core::kMaxBatchItems);
   core::ViewSubscription question;
   question.replyTo = follower.Address;
   question.have = before;
@@ -111,7 +111,7 @@
   reader.Alive = false;
   this->ChangeRoutes(9);
   BOOST_TEST((this->TimeUntilInForce(9) < kInForceWithin));
-  BOOST_TEST(follower.Backends.activeCount() == 1 + 2 * core::kHeaviestBatch);
+  BOOST_TEST(follower.Backends.activeCount() == 1 + 2 * core::kMaxBatchItems);
 }
 
 // A daemon asked a peer that lacked the changes, and had caught up in part by
@@ -156,7 +156,7 @@
   this->Run(5s);
   this->Store.freezeStale();
   const core::Revision listed = this->Store.revision();
-  this->AddBackends(2 * core::kHeaviestBatch);
+  this->AddBackends(2 * core::kMaxBatchItems);
   this->Run(1s);
   this->Grow(13);
   Node& starting = this->At(12);
--- a/tests/core/relay/relay_failing_store_test.cc
+++ b/tests/core/relay/relay_failing_store_test.cc
@@ -37,7 +37,7 @@
   this->Run(5s);
   this->RefuseAll(true);
   std::uint64_t before = this->CountCalls();
-  this->Run(core::kFollowerReadsAfter + 500ms);
+  this->Run(core::kFollowerReadViewAge + 500ms);
   // Three seeds try twice a second; 37 others in three seconds.
   BOOST_TEST(this->CountCalls() - before < 25U);
   before = this->CountCalls();
@@ -75,7 +75,7 @@
   for (std::size_t i = 0; i < kSeeds; ++i) {
     this->At(i).Alive = false;
   }
-  this->Run(core::kSeedHeardWithin);
+  this->Run(core::kSeedLivenessWindow);
   this->RefuseAll(false);
   this->ChangeRoutes(9);
   BOOST_TEST((this->TimeUntilInForce(9) < 1s));
--- a/tests/core/relay/relay_fixture.h
+++ b/tests/core/relay/relay_fixture.h
@@ -338,7 +338,7 @@
   void AddManyRoutes(core::ConfigurationVersion version)
   {
     std::vector<std::pair<std::uint8_t, std::string>> routes;
-    for (std::size_t i = 0; i <= core::kHeaviestBatch; ++i) {
+    for (std::size_t i = 0; i <= core::kMaxBatchItems; ++i) {
       routes.emplace_back(static_cast<std::uint8_t>(i + 1), "web");
     }
     this->Store.put("op/config", makeRoutes(version, routes));
--- a/tests/core/relay/relay_starts_test.cc
+++ b/tests/core/relay/relay_starts_test.cc
@@ -67,7 +67,7 @@
   for (std::size_t i = 0; i < kSeeds; ++i) {
     this->At(i).Alive = false;
   }
-  this->Run(core::kCatchUpFromPeers + 2 * kStep);
+  this->Run(core::kPeerCatchUpTimeout + 2 * kStep);
   for (std::size_t i = kSeeds; i < 30; ++i) {
     BOOST_TEST(this->At(i).Reader.isComplete());
   }
--- a/tests/core/relay/seed_group_test.cc
+++ b/tests/core/relay/seed_group_test.cc
@@ -61,7 +61,7 @@
 BOOST_AUTO_TEST_CASE(seeds_count_until_they_have_been_silent)
 {
   BOOST_TEST(this->Seeds.IsCovered(this->Now));
-  this->Now += core::kSeedHeardWithin;
+  this->Now += core::kSeedLivenessWindow;
   this->Seeds.OnTick(this->Now);
   BOOST_TEST(!this->Seeds.IsCovered(this->Now));
   this->Seeds.OnUpdate(this->AnswerAged(0s), this->Timing, this->Now);
@@ -71,13 +71,13 @@
 BOOST_AUTO_TEST_CASE(an_old_view_shows_that_a_seed_reads_in_vain)
 {
   const core::Duration limit =
-    this->Timing.SeedReadsAfter + core::kSeedTriesWithin;
+    this->Timing.SeedReadsAfter + core::kSeedReadAttemptWindow;
   this->Seeds.OnUpdate(this->AnswerAged(limit - 1ms), this->Timing, this->Now);
   BOOST_TEST(!this->Seeds.HasFailed(this->Now));
   this->Seeds.OnUpdate(this->AnswerAged(limit), this->Timing, this->Now);
   BOOST_TEST(this->Seeds.HasFailed(this->Now));
   // It is believed for a while, and until a seed is served again.
-  BOOST_TEST(!this->Seeds.HasFailed(this->Now + core::kSeedHeardWithin));
+  BOOST_TEST(!this->Seeds.HasFailed(this->Now + core::kSeedLivenessWindow));
   this->Seeds.OnUpdate(this->AnswerAged(10ms), this->Timing, this->Now);
   BOOST_TEST(!this->Seeds.HasFailed(this->Now));
 }
--- a/tests/core/relay/view_difference_test.cc
+++ b/tests/core/relay/view_difference_test.cc
@@ -329,7 +329,7 @@
 // eleven seconds later (all_lapse_under_load on cflc-quotes-fleet).
 BOOST_AUTO_TEST_CASE(a_flood_of_changes_delays_no_version)
 {
-  this->Store.watchSize = core::kItemsOfStorePage;
+  this->Store.watchSize = core::kStorePageItems;
   for (std::uint64_t id = 10; id < 3010; ++id) {
     this->Store.put("servers/" + std::to_string(id), core::RemovedItem{});
   }
--- a/tests/core/relay/view_fill_test.cc
+++ b/tests/core/relay/view_fill_test.cc
@@ -95,7 +95,7 @@
   }
   this->TimeUntilWhole();
   const std::uint64_t items = this->CountItemsRead();
-  const std::uint64_t forSamples = kDaemons * 8 * core::kPlacementLooks;
+  const std::uint64_t forSamples = kDaemons * 8 * core::kPlacementSampleSize;
   const std::uint64_t wholeListings = 2 * kSeeds * (kManyBackends + 1);
   BOOST_TEST(items < forSamples + wholeListings);
   // What everyone read before.
@@ -188,7 +188,7 @@
   this->RefuseAll(true);
   this->Run(2s);
   BOOST_TEST(this->At(20).Reader.isWhole());
-  BOOST_TEST(this->CountItemsRead() < before + 8 * core::kPlacementLooks);
+  BOOST_TEST(this->CountItemsRead() < before + 8 * core::kPlacementSampleSize);
 }
 
 // One that served 900 in turn gave each a page now and then, and nobody else
--- a/tests/core/relay/view_relay_test.cc
+++ b/tests/core/relay/view_relay_test.cc
@@ -160,10 +160,10 @@
 
 BOOST_AUTO_TEST_CASE(a_full_daemon_refers_to_its_followers)
 {
-  this->Grow(4 * core::kMostFollowers);
+  this->Grow(4 * core::kMaxFollowers);
   this->Run(10s);
   for (auto& node : this->Nodes) {
-    BOOST_TEST(node->Relay.CountFollowers() <= core::kMostFollowers);
+    BOOST_TEST(node->Relay.CountFollowers() <= core::kMaxFollowers);
     BOOST_TEST(node->Reader.isCurrent(node->Clock(this->Now)));
   }
   BOOST_TEST(this->CountReading() <= 2U);
@@ -173,7 +173,7 @@
 
 BOOST_AUTO_TEST_CASE(what_two_daemons_saw_of_a_back_end_is_known_to_all)
 {
-  this->Grow(4 * core::kMostFollowers);
+  this->Grow(4 * core::kMaxFollowers);
   this->Run(10s);
   for (const std::size_t observer : { 40U, 90U }) {
     for (int i = 0; i < 10; ++i) {
@@ -185,7 +185,7 @@
   for (auto& node : this->Nodes) {
     BOOST_TEST(node->Outliers.IsOutlier(core::BackendId{ 1 }));
   }
-  this->Run(core::kOutlierFor + 2s);
+  this->Run(core::kOutlierEjectionTime + 2s);
   for (auto& node : this->Nodes) {
     BOOST_TEST(!node->Outliers.IsOutlier(core::BackendId{ 1 }));
   }
@@ -209,16 +209,16 @@
 BOOST_AUTO_TEST_CASE(a_longer_bound_changes_nothing)
 {
   const core::RelayTiming timing = core::RelayTiming::Within(30s);
-  BOOST_TEST((timing.WatchWait == core::kWatchWait));
-  BOOST_TEST((timing.FollowerReadsAfter == core::kFollowerReadsAfter));
-  BOOST_TEST((timing.RareTryAfter == core::kReadBackOffCovered));
+  BOOST_TEST((timing.WatchWait == core::kWatchMaxWait));
+  BOOST_TEST((timing.FollowerReadsAfter == core::kFollowerReadViewAge));
+  BOOST_TEST((timing.RareTryAfter == core::kReadBackoffWithSeed));
 }
 
 BOOST_AUTO_TEST_CASE(rare_tries_follow_a_shorter_bound)
 {
   const core::RelayTiming timing =
-    core::RelayTiming::Within(core::kChangesInForce / 2);
-  BOOST_TEST((timing.RareTryAfter == core::kReadBackOffCovered / 2));
+    core::RelayTiming::Within(core::kChangePropagationDeadline / 2);
+  BOOST_TEST((timing.RareTryAfter == core::kReadBackoffWithSeed / 2));
 }
 
 BOOST_AUTO_TEST_CASE(an_update_of_unknown_age_says_nothing)
--- a/tests/core/restarted_backends_test.cc
+++ b/tests/core/restarted_backends_test.cc
@@ -38,7 +38,7 @@
          opened = backendOf(open(++port))) {
       send(port, opened, 1, 0);
     }
-    now += core::kAnswerPatience + 10ms;
+    now += core::kResponseTimeout + 10ms;
     for (const core::BackendAddress& probed : steering.takeProbes(now)) {
       steering.onProbe(probed.id, core::ProbeResult::kTimedOut, now);
     }
@@ -55,21 +55,21 @@
   putBackend(1, run(2000));
   steering.onViewChanged();
   BOOST_TEST(!steering.health().isDead(BackendId{1}));
-  BOOST_TEST((ruleOf(send(9, BackendId{1}, 1, 100)) == RouteReason::kCarriedToken));
+  BOOST_TEST((routeReasonOf(send(9, BackendId{1}, 1, 100)) == RouteReason::kCarriedToken));
 }
 
 BOOST_AUTO_TEST_CASE(flows_of_the_run_before_no_longer_count_and_are_not_reset_here) {
   putBackend(1, run(1000));
   std::uint16_t port = 1;
-  while (openAndAnswer(port) != BackendId{1}) {
+  while (establishFlow(port) != BackendId{1}) {
     now += 200ms;
     ++port;
   }
   steering.takeResets();
-  BOOST_TEST(steering.flows().openOn(BackendId{1}) > 0U);
+  BOOST_TEST(steering.flows().openFlowCount(BackendId{1}) > 0U);
   putBackend(1, run(2000));
   steering.onViewChanged();
-  BOOST_TEST(steering.flows().openOn(BackendId{1}) == 0U);
+  BOOST_TEST(steering.flows().openFlowCount(BackendId{1}) == 0U);
   BOOST_TEST(steering.takeResets().empty());
 }
 
@@ -82,14 +82,14 @@
 }
 
 BOOST_AUTO_TEST_CASE(an_entry_that_turns_unreadable_takes_the_back_end_out_and_keeps_its_flows) {
-  const BackendId backend = openAndAnswer(1);
+  const BackendId backend = establishFlow(1);
   const std::string key = keyOf(static_cast<std::uint64_t>(backend));
   updater.onChange({key, ++revision, core::UnreadableItem{"bytes"}}, now);
   BOOST_TEST(!steering.backends().takesNewFlows(backend));
-  BOOST_TEST((ruleOf(send(1, backend, 2, 100)) == RouteReason::kCarriedToken));
+  BOOST_TEST((routeReasonOf(send(1, backend, 2, 100)) == RouteReason::kCarriedToken));
   for (std::uint16_t port = 2; port < 30; ++port) {
     now += 200ms;
-    BOOST_TEST((openAndAnswer(port) != backend));
+    BOOST_TEST((establishFlow(port) != backend));
   }
   // Its own next word brings it back.
   putBackend(static_cast<std::uint64_t>(backend),
--- a/tests/core/sampled_view_test.cc
+++ b/tests/core/sampled_view_test.cc
@@ -86,7 +86,7 @@
   BOOST_TEST(reader.isComplete());
   BOOST_TEST(!reader.isWhole());
   BOOST_TEST(routes.version() == 7U);
-  BOOST_TEST(backends.size() >= core::kPlacementLooks);
+  BOOST_TEST(backends.size() >= core::kPlacementSampleSize);
   BOOST_TEST(backends.size() <= 100U);
 }
 
@@ -96,7 +96,7 @@
   BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
   const StoreRead watch = answerNext();
   BOOST_TEST((watch.kind == StoreRead::Kind::kWatch));
-  BOOST_TEST((watch.wait == core::kCatchUpWait));
+  BOOST_TEST((watch.wait == core::kCatchUpWatchMaxWait));
   BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
   fill();
   BOOST_TEST(backends.size() == kBackends);
--- a/tests/core/store_reader_test.cc
+++ b/tests/core/store_reader_test.cc
@@ -58,18 +58,19 @@
 BOOST_AUTO_TEST_CASE(reads_that_others_make_as_well_are_repeated_rarely) {
   begin();
   reader.setCovered(true);
-  for (std::uint32_t i = 0; i < core::kTriesBeforeRare; ++i) {
+  for (std::uint32_t i = 0; i < core::kFailuresBeforeSeedBackoff; ++i) {
     failNext(ReadOutcome::kUnavailable);
-    BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
+    BOOST_TEST((reader.nextReadAt() - now <= core::kMaxReadBackoff));
   }
   failNext(ReadOutcome::kUnavailable);
-  BOOST_TEST((reader.nextReadAt() - now >= core::kReadBackOffCovered / 2));
-  BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffCovered));
-  BOOST_TEST(!reader.nextRead(now + core::kReadBackOffLongest).has_value());
+  BOOST_TEST((reader.nextReadAt() - now >= core::kReadBackoffWithSeed / 2));
+  BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackoffWithSeed));
+  BOOST_TEST(!reader.nextRead(now + core::kMaxReadBackoff).has_value());
   // Sooner where changes have to be in force sooner.
-  reader.setPace(core::kWatchWait / 2, core::kViewCurrentFor, core::kReadBackOffCovered / 2);
+  reader.setPace(core::kWatchMaxWait / 2, core::kViewFreshnessPeriod,
+                 core::kReadBackoffWithSeed / 2);
   failNext(ReadOutcome::kUnavailable);
-  BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffCovered / 2));
+  BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackoffWithSeed / 2));
 }
 
 BOOST_AUTO_TEST_CASE(a_reader_that_may_follow_leaves_a_pause_and_watches_for_less) {
@@ -77,14 +78,14 @@
   reader.setCovered(true);
   now += 5s;
   answerNext();
-  BOOST_TEST((reader.nextReadAt() - now == core::kLetOthersRead));
-  BOOST_TEST((nextRead().wait == core::kWatchWait - core::kLetOthersRead));
+  BOOST_TEST((reader.nextReadAt() - now == core::kReadHoldOff));
+  BOOST_TEST((nextRead().wait == core::kWatchMaxWait - core::kReadHoldOff));
   reader.onReply(store.answer({}), now);
   // Not where packets wait for a back end.
   reader.onWanted(now);
   answerNext();
   BOOST_TEST((reader.nextReadAt() == now));
-  BOOST_TEST((nextRead().wait == core::kWatchWait));
+  BOOST_TEST((nextRead().wait == core::kWatchMaxWait));
 }
 
 BOOST_AUTO_TEST_CASE(a_catch_up_that_was_put_off_comes_at_once_where_packets_wait) {
@@ -92,7 +93,7 @@
   reader.setCovered(true);
   answerNext();
   BOOST_REQUIRE(reader.isCatchingUp());
-  reader.putOff(now + core::kCatchUpFromPeers);
+  reader.putOff(now + core::kPeerCatchUpTimeout);
   BOOST_TEST(!reader.nextRead(now).has_value());
   reader.onWanted(now);
   answerNext();
@@ -105,21 +106,21 @@
   reader.setCovered(true);
   reader.onWanted(now);
   begin();
-  BOOST_TEST((reader.nextReadAt() - now == core::kLetOthersRead));
+  BOOST_TEST((reader.nextReadAt() - now == core::kReadHoldOff));
 }
 
 BOOST_AUTO_TEST_CASE(a_rare_read_comes_at_once_where_it_is_urgent_or_nobody_else_reads) {
   begin();
   reader.setCovered(true);
-  for (std::uint32_t i = 0; i <= core::kTriesBeforeRare; ++i) {
+  for (std::uint32_t i = 0; i <= core::kFailuresBeforeSeedBackoff; ++i) {
     failNext(ReadOutcome::kUnavailable);
   }
   reader.setUrgent(true);
-  BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
+  BOOST_TEST((reader.nextReadAt() - now <= core::kMaxReadBackoff));
   reader.setUrgent(false);
-  BOOST_TEST((reader.nextReadAt() - now > core::kReadBackOffLongest));
+  BOOST_TEST((reader.nextReadAt() - now > core::kMaxReadBackoff));
   reader.setCovered(false);
-  BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
+  BOOST_TEST((reader.nextReadAt() - now <= core::kMaxReadBackoff));
 }
 
 BOOST_AUTO_TEST_CASE(a_read_that_fails_as_those_of_others_is_rare_at_once) {
@@ -131,7 +132,7 @@
   BOOST_TEST((reader.nextReadAt() - now <= 8s));
   // None of it where nobody else reads any more.
   reader.setCovered(false);
-  BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
+  BOOST_TEST((reader.nextReadAt() - now <= core::kMaxReadBackoff));
 }
 
 BOOST_AUTO_TEST_CASE(a_read_is_put_off_unless_it_is_urgent_or_nobody_else_reads) {
@@ -203,7 +204,7 @@
   BOOST_TEST(!reader.isCurrent(now));
   const StoreRead watch = nextRead();
   BOOST_TEST(watch.afterRevision == 2U);
-  BOOST_TEST(watch.wait.count() == core::kCatchUpWait.count());
+  BOOST_TEST(watch.wait.count() == core::kCatchUpWatchMaxWait.count());
   reader.onReply(store.answer(watch), now);
   BOOST_TEST(reader.isComplete());
   BOOST_TEST(routes.version() == 8U);
@@ -263,7 +264,7 @@
   store.put("servers/1", core::RemovedItem{});
   store.compact();
   answerNext();
-  BOOST_TEST(!reader.isCurrent(now + core::kViewCurrentFor));
+  BOOST_TEST(!reader.isCurrent(now + core::kViewFreshnessPeriod));
   const StoreRead read = nextRead();
   BOOST_TEST((read.kind == StoreRead::Kind::kList));
   reader.onReply(store.answer(read), now);
@@ -311,10 +312,10 @@
   failNext(ReadOutcome::kConnectionLost);
   const StoreRead read = nextRead();
   BOOST_TEST((read.kind == StoreRead::Kind::kWatch));
-  BOOST_TEST(read.wait.count() == core::kConfirmWait.count());
-  BOOST_TEST(!reader.isCurrent(now + core::kViewCurrentFor));
+  BOOST_TEST(read.wait.count() == core::kConfirmWatchMaxWait.count());
+  BOOST_TEST(!reader.isCurrent(now + core::kViewFreshnessPeriod));
   reader.onReply(store.answer(read), now);
-  BOOST_TEST(nextRead().wait.count() == core::kWatchWait.count());
+  BOOST_TEST(nextRead().wait.count() == core::kWatchMaxWait.count());
 }
 
 BOOST_AUTO_TEST_CASE(time_outs_grow_and_shrink_again) {
@@ -385,7 +386,7 @@
   now += 5s;
   reader.onResume(now);
   BOOST_TEST(reader.nextReadAt().count() == now.count());
-  BOOST_TEST(nextRead().wait.count() == core::kConfirmWait.count());
+  BOOST_TEST(nextRead().wait.count() == core::kConfirmWatchMaxWait.count());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/view_exchange_test.cc
+++ b/tests/core/view_exchange_test.cc
@@ -113,7 +113,7 @@
   now += 2s;
   read(first);
   fail(third);
-  now += core::kStoreFirstTry;
+  now += core::kStoreStartupTimeout;
   tick();
   BOOST_TEST(third.reader.isComplete());
   BOOST_TEST(third.steering.backends().evacuations().IsEvacuated("a"));
@@ -124,13 +124,13 @@
 BOOST_AUTO_TEST_CASE(a_starting_daemon_gets_its_view_from_a_peer) {
   tick();
   BOOST_TEST(third.backends() == 0U);
-  now += core::kStoreFirstTry;
+  now += core::kStoreStartupTimeout;
   fail(third);
   tick();
   BOOST_TEST(third.backends() == 2U);
   BOOST_TEST(third.steering.routes().version() == 7U);
   BOOST_TEST(third.reader.isComplete());
-  BOOST_TEST(!third.reader.isCurrent(now + core::kViewCurrentFor));
+  BOOST_TEST(!third.reader.isCurrent(now + core::kViewFreshnessPeriod));
 }
 
 // 56 daemons that were added while the store reset every connection tried it 313 times and served
@@ -161,9 +161,9 @@
 }
 
 BOOST_AUTO_TEST_CASE(the_next_read_goes_on_from_the_peers_view) {
-  now += core::kStoreFirstTry;
+  now += core::kStoreStartupTimeout;
   tick();
-  now += core::kStoreFirstTry;
+  now += core::kStoreStartupTimeout;
   tick();
   BOOST_REQUIRE(third.reader.isComplete());
   const std::optional<core::StoreRead> read = third.reader.nextRead(now);
@@ -175,7 +175,7 @@
 BOOST_AUTO_TEST_CASE(a_daemon_that_the_store_refuses_follows_its_peers) {
   tick();
   fail(second);
-  now += core::kStoreSilence;
+  now += core::kStoreSilenceTimeout;
   store.put("op/config", makeRoutes(9, {{2, "web"}}));
   store.put("servers/2", core::RemovedItem{});
   read(first);
@@ -201,7 +201,7 @@
 BOOST_AUTO_TEST_CASE(seeds_pass_on_who_made_itself_known) {
   tick();
   // The seed dies; the second daemon is known to the third only through it.
-  now += core::kStoreFirstTry;
+  now += core::kStoreStartupTimeout;
   fail(third);
   const core::Revision before = third.reader.revision();
   BOOST_TEST(before == 0U);
@@ -209,7 +209,7 @@
   BOOST_TEST(third.exchange.peerCount() == 2U);
   cut = &first;
   fail(third);
-  now += core::kStoreSilence;
+  now += core::kStoreSilenceTimeout;
   store.put("servers/2", core::RemovedItem{});
   read(second);
   tick();
@@ -220,7 +220,7 @@
   tick();
   const std::uint64_t sent = second.exchange.counters().requestsSent;
   for (int i = 0; i < 20; ++i) {
-    now += core::kWatchWait;
+    now += core::kWatchMaxWait;
     store.put("servers/3", makeRegistration(3, "web", 1, 3));
     read(second);
     second.exchange.onTick(now);
@@ -233,7 +233,7 @@
 BOOST_AUTO_TEST_CASE(a_daemon_whose_listing_goes_on_asks_nobody) {
   store.pageSize = 1;
   for (int page = 0; page < 3; ++page) {
-    now += core::kStoreFirstTry - 1ms;
+    now += core::kStoreStartupTimeout - 1ms;
     read(third);
     third.exchange.onTick(now);
   }
@@ -263,7 +263,7 @@
 // A listing that takes long because a machine's link is slow is no silence of the store.
 BOOST_AUTO_TEST_CASE(a_daemon_whose_answer_is_arriving_asks_nobody) {
   for (int part = 0; part < 5; ++part) {
-    now += core::kStoreFirstTry - 1ms;
+    now += core::kStoreStartupTimeout - 1ms;
     third.reader.onProgress(now);
     third.exchange.onTick(now);
   }
--- a/tests/core/warmup/cold_openings_test.cc
+++ b/tests/core/warmup/cold_openings_test.cc
@@ -18,7 +18,7 @@
 
   ColdFixture()
   {
-    this->steering.setFleet(1);
+    this->steering.setFleetSize(1);
     this->SetBound(2, kBears);
   }
 
@@ -80,12 +80,13 @@
     placed += std::holds_alternative<core::ForwardToBackend>(verdict) ? 1 : 0;
   }
   BOOST_TEST(placed == 6);
-  BOOST_TEST((dropOf(this->open(200)) == DropReason::kPaced));
-  BOOST_TEST((refusalOf(this->open(200, core::kLastOpeningCopy)) ==
-              RefuseReason::kWarmingUp));
+  BOOST_TEST((dropReasonOf(this->open(200)) == DropReason::kPaced));
+  BOOST_TEST(
+    (refuseReasonOf(this->open(200, core::kMaxOpeningRetransmissions)) ==
+     RefuseReason::kWarmingUp));
   this->now += core::kWarmUpWindow;
   BOOST_TEST(std::holds_alternative<core::ForwardToBackend>(
-    this->open(201, core::kLastOpeningCopy)));
+    this->open(201, core::kMaxOpeningRetransmissions)));
 }
 
 // 32 back ends are drawn to be compared; none of them may be the one that is
@@ -95,12 +96,12 @@
   for (std::uint8_t id = 1; id <= 100; ++id) {
     this->PutCold(id);
   }
-  this->steering.setFleet(core::kLargestFleet);
+  this->steering.setFleetSize(core::kMaxFleetSize);
   this->putBackend(101, makeRegistration(101, "web", 1, 101));
   for (std::uint16_t port = 100; port < 140; ++port) {
     this->now += 100ms;
     BOOST_TEST(std::holds_alternative<core::ForwardToBackend>(
-      this->open(port, core::kLastOpeningCopy)));
+      this->open(port, core::kMaxOpeningRetransmissions)));
   }
 }
 
--- a/tests/core/zones/allowed_regions_test.cc
+++ b/tests/core/zones/allowed_regions_test.cc
@@ -18,8 +18,8 @@
   {
     this->steering.backends().setRegions(
       { { "a", "north" }, { "b", "south" } });
-    this->putInZone("b", 4);
-    this->putInZone("c", 5);
+    this->putBackendInZone("b", 4);
+    this->putBackendInZone("c", 5);
   }
 
   void Allow(core::ConfigurationVersion version,
@@ -35,7 +35,7 @@
     std::set<BackendId> used;
     for (std::uint16_t port = firstPort; port < firstPort + 40; ++port) {
       this->now += 100ms;
-      used.insert(this->openAndAnswer(port));
+      used.insert(this->establishFlow(port));
     }
     return used;
   }
@@ -63,11 +63,11 @@
 BOOST_AUTO_TEST_CASE(without_any_there_an_opening_is_not_sent_elsewhere)
 {
   this->Allow(2, { "west" });
-  BOOST_TEST((dropOf(this->open(100)) == DropReason::kEmptyService));
+  BOOST_TEST((dropReasonOf(this->open(100)) == DropReason::kEmptyService));
   for (std::uint64_t id = 1; id <= 5; ++id) {
     this->steering.backends().remove(keyOf(id), ++this->revision, this->now);
   }
-  BOOST_TEST((dropOf(this->open(101)) == DropReason::kEmptyService));
+  BOOST_TEST((dropReasonOf(this->open(101)) == DropReason::kEmptyService));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/zones/evacuated_openings_test.cc
+++ b/tests/core/zones/evacuated_openings_test.cc
@@ -26,7 +26,7 @@
   EvacuationFixture()
   {
     for (std::uint8_t host = 11; host <= 13; ++host) {
-      this->putInZone("b", host);
+      this->putBackendInZone("b", host);
     }
   }
 
@@ -55,7 +55,7 @@
     int count = 0;
     for (std::uint16_t port = firstPort; port < firstPort + 60; ++port) {
       this->now += 100ms;
-      count += IsInB(this->openAndAnswer(port)) ? 1 : 0;
+      count += IsInB(this->establishFlow(port)) ? 1 : 0;
     }
     return count;
   }
@@ -81,7 +81,7 @@
 BOOST_AUTO_TEST_CASE(open_flows_stay)
 {
   std::uint16_t port = 100;
-  while (!IsInB(this->openAndAnswer(++port))) {
+  while (!IsInB(this->establishFlow(++port))) {
     this->now += 100ms;
   }
   const BackendId backend = this->steering.lastDecision().backend;
@@ -103,13 +103,13 @@
   this->now += 100ms;
   const core::Verdict repeated = this->open(port, 1);
   BOOST_TEST(!IsInB(backendOf(repeated)));
-  BOOST_TEST((ruleOf(repeated) == RouteReason::kReplaced));
+  BOOST_TEST((routeReasonOf(repeated) == RouteReason::kReplaced));
 }
 
 BOOST_AUTO_TEST_CASE(a_back_end_that_registers_in_the_zone_gets_none)
 {
   this->Evacuate("b");
-  this->putInZone("b", 14);
+  this->putBackendInZone("b", 14);
   BOOST_TEST(this->CountInB(100) == 0);
 }
 
@@ -138,7 +138,7 @@
   set.routes.push_back(
     { "r", endpoint(90, 1, 443), { { "web", 1 }, { "api", 1 } } });
   this->steering.routes().offer(set, this->now);
-  this->putInZone("b", 21, "api");
+  this->putBackendInZone("b", 21, "api");
   this->Evacuate("b");
   BOOST_TEST(this->CountInB(100) == 0);
 }
@@ -147,7 +147,7 @@
 {
   this->Evacuate("a");
   this->Evacuate("b");
-  BOOST_TEST((refusalOf(this->open(100)) == RefuseReason::kEvacuated));
+  BOOST_TEST((refuseReasonOf(this->open(100)) == RefuseReason::kEvacuated));
   const core::Verdict refusal = this->open(101);
   BOOST_TEST((std::get<core::Refuse>(refusal).certainty ==
               core::RefusalCertainty::kNotRun));
@@ -159,9 +159,9 @@
 {
   this->Evacuate("a");
   this->Evacuate("b");
-  BOOST_TEST((dropOf(this->open(100, 1)) == DropReason::kEmptyService));
-  this->now += core::kEmptyServicePatience;
-  BOOST_TEST((refusalOf(this->open(101, 1)) == RefuseReason::kNoBackend));
+  BOOST_TEST((dropReasonOf(this->open(100, 1)) == DropReason::kEmptyService));
+  this->now += core::kEmptyServiceGracePeriod;
+  BOOST_TEST((refuseReasonOf(this->open(101, 1)) == RefuseReason::kNoBackend));
 }
 
 BOOST_AUTO_TEST_CASE(a_view_that_may_be_old_refuses_nothing)
@@ -169,7 +169,7 @@
   this->Evacuate("a");
   this->Evacuate("b");
   this->steering.setViewState(true, false);
-  BOOST_TEST((dropOf(this->open(100)) == DropReason::kStaleView));
+  BOOST_TEST((dropReasonOf(this->open(100)) == DropReason::kStaleView));
 }
 
 // Changes of one batch may come in any order of their kinds.
--- a/tests/fuzz/fuzz_peer.cc
+++ b/tests/fuzz/fuzz_peer.cc
@@ -89,9 +89,9 @@
   node.steering.setOutliers(&node.outliers);
   node.steering.setViewState(true, false);
   node.steering.onPacket(tests::packetFrom(1), now);
-  node.exchange.onTick(now + core::kStoreSilence);
+  node.exchange.onTick(now + core::kStoreSilenceTimeout);
   node.exchange.takeMessages();
-  node.relay.OnTick(node.exchange.peers(), now + core::kStoreSilence);
+  node.relay.OnTick(node.exchange.peers(), now + core::kStoreSilenceTimeout);
   node.relay.TakeMessages();
 }
 
--- a/tests/platform/packet_head_test.cc
+++ b/tests/platform/packet_head_test.cc
@@ -33,7 +33,7 @@
   BOOST_TEST(net::formatEndpoint(summary->flow.source) == "100.64.0.7:40001");
   BOOST_TEST(net::formatEndpoint(summary->flow.destination) == "198.18.0.1:443");
   BOOST_TEST((summary->kind == core::PacketKind::kOpening));
-  BOOST_TEST(summary->openingCopy == 1U);
+  BOOST_TEST(summary->openingRetransmission == 1U);
   BOOST_TEST(summary->sequence == 0x11223344U);
   BOOST_TEST((summary->token == core::kNoToken));
 }
@@ -51,7 +51,7 @@
   BOOST_TEST((summary->token == core::SteeringToken{0x5678}));
   BOOST_TEST(summary->dataLength == 3U);
   BOOST_TEST(summary->acknowledgement == 1U);
-  BOOST_TEST(summary->openingCopy == 0U);
+  BOOST_TEST(summary->openingRetransmission == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(refuses_what_is_no_packet) {
--- a/tests/support/token_fixtures.h
+++ b/tests/support/token_fixtures.h
@@ -37,7 +37,8 @@
   }
 
   /// Registers a back end in a zone.
-  void putInZone(const std::string& zone, std::uint8_t id, const std::string& service = "web") {
+  void putBackendInZone(const std::string& zone, std::uint8_t id,
+                        const std::string& service = "web") {
     core::Registration registration = makeRegistration(id, service, 1, id);
     registration.zone = zone;
     putBackend(id, registration);
@@ -61,12 +62,12 @@
 
   core::Verdict open(std::uint16_t port, std::uint32_t copy = 0) {
     core::PacketSummary summary = packet(port, core::PacketKind::kOpening);
-    summary.openingCopy = copy;
+    summary.openingRetransmission = copy;
     return steering.onPacket(summary, now);
   }
 
   /// Opens a flow and lets its caller confirm it. @return its back end.
-  core::BackendId openAndAnswer(std::uint16_t port) {
+  core::BackendId establishFlow(std::uint16_t port) {
     const core::BackendId backend = backendOf(open(port));
     send(port, backend, 1, 0);
     return backend;
@@ -88,15 +89,15 @@
     BOOST_REQUIRE(forward != nullptr);
     return forward->backend.id;
   }
-  static std::optional<core::RouteReason> ruleOf(const core::Verdict& verdict) {
+  static std::optional<core::RouteReason> routeReasonOf(const core::Verdict& verdict) {
     const auto* forward = std::get_if<core::ForwardToBackend>(&verdict);
     return forward == nullptr ? std::nullopt : std::optional(forward->reason);
   }
-  static std::optional<core::RefuseReason> refusalOf(const core::Verdict& verdict) {
+  static std::optional<core::RefuseReason> refuseReasonOf(const core::Verdict& verdict) {
     const auto* refusal = std::get_if<core::Refuse>(&verdict);
     return refusal == nullptr ? std::nullopt : std::optional(refusal->reason);
   }
-  static std::optional<core::DropReason> dropOf(const core::Verdict& verdict) {
+  static std::optional<core::DropReason> dropReasonOf(const core::Verdict& verdict) {
     const auto* drop = std::get_if<core::Drop>(&verdict);
     return drop == nullptr ? std::nullopt : std::optional(drop->reason);
   }
