--- a/src/core/backend_candidates.cc
+++ b/src/core/backend_candidates.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of BackendRegistry that tells which back ends may be given new flows.
+/// Selection by BackendRegistry of the backends that may receive new flows.
 #include <algorithm>
 
 #include "core/backend_registry.h"
@@ -19,8 +19,8 @@
 }
 
 bool BackendRegistry::isServing(const Entry& entry) const {
-  // Of two back ends with one token only the first takes flows.
-  return tokens_.OwnsHash(entry.address.id) && entry.present && !entry.ended &&
+  // If two backends have the same token, only the first accepts flows.
+  return tokens_.OwnsHash(entry.address.id) && entry.present && !entry.superseded &&
          entry.registration.state == BackendState::kActive;
 }
 
@@ -43,7 +43,7 @@
 }
 
 const CandidateList& BackendRegistry::candidateList(ServiceId service) {
-  // Peers may ask for services that nobody has; nothing is kept for those.
+  // Peers may request unknown services; no list is stored for those.
   static const CandidateList kNone;
   const auto keys = services_.find(service);
   if (keys == services_.end()) {
@@ -99,7 +99,7 @@
   const auto& list = departures->second;
   for (auto item = list.rbegin(); item != list.rend() && item->first > since; ++item) {
     const auto entry = entries_.find(item->second);
-    // One that came back and departed again counts by its last departure.
+    // A backend that returned and departed again counts by its last departure.
     const bool isLast = entry != entries_.end() && entry->second.removedAt == item->first;
     if (isLast && hasVanished(entry->second, since)) {
       vanished.push_back(candidateOf(entry->second));
@@ -110,7 +110,7 @@
 
 bool BackendRegistry::hasVanished(const Entry& entry, Time since) const {
   const bool unannounced = entry.registration.state == BackendState::kActive;
-  return !entry.present && !entry.ended && unannounced && entry.removedAt > since &&
+  return !entry.present && !entry.superseded && unannounced && entry.removedAt > since &&
          !evacuations_.IsEvacuated(entry.registration.zone);
 }
 
@@ -119,11 +119,11 @@
   return key != keys_.end() && hasVanished(entries_.at(key->second), since);
 }
 
-std::vector<PlacementCandidate> BackendRegistry::lapsedSince(ServiceId service, Time since) {
+std::vector<PlacementCandidate> BackendRegistry::expiredSince(ServiceId service, Time since) {
   std::vector<PlacementCandidate> vanished = vanishedSince(service, since);
   const std::size_t all = vanished.size() + candidates(service).size();
-  const bool isMany = vanished.size() > 1 && vanished.size() * kBackendsPerLapse > all;
-  return isMany ? vanished : std::vector<PlacementCandidate>{};
+  const bool isMassExpiry = vanished.size() > 1 && vanished.size() * kMassExpiryRatio > all;
+  return isMassExpiry ? vanished : std::vector<PlacementCandidate>{};
 }
 
 std::size_t BackendRegistry::activeCount() const {
--- a/src/core/domains/serving_readiness.h
+++ b/src/core/domains/serving_readiness.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells whether callers' openings can be served from here.  See
+/// Detects that a daemon reaches no backend.  See
 /// docs/design/011-failure-domains.md.
 #pragma once
 
@@ -14,70 +14,70 @@
 
 namespace cobaltgauge::core {
 
-/// Why a daemon came to serve, or not to.
+/// Reason for the current serving state.
 enum class ServingReason : std::uint8_t
 {
-  kNothingKnown, ///< No sign against it.
-  kUnreached,    ///< Several back ends silent, probes timed out, no answer.
-  kConnected,    ///< A probe connected.
-  kAnswered,     ///< A back end answered a caller.
-  kNoBackends,   ///< Nothing is left that could be asked.
-  kResumed,      ///< The process was suspended; what it saw means nothing.
+  kInitial,     ///< No change since the start.
+  kUnreachable, ///< Backends are unresponsive and probes timed out.
+  kConnected,   ///< A probe connected.
+  kAnswered,    ///< A backend responded to a client.
+  kNoBackends,  ///< No backends are left to probe.
+  kResumed,     ///< The process was suspended; its evidence was discarded.
 };
 
 const char* ToString(ServingReason reason);
 
-/// One change, with what it rests on.
+/// A change of the serving state and the evidence for it.
 struct ServingChange
 {
   bool Serving = true;
-  ServingReason Reason = ServingReason::kNothingKnown;
-  std::size_t Silent = 0;   ///< Back ends with openings without an answer.
-  std::size_t TimedOut = 0; ///< Back ends whose probes timed out.
-  Duration Since{};         ///< From the first of the silent openings.
+  ServingReason Reason = ServingReason::kInitial;
+  /// Backends that left a connection attempt without a response.
+  std::size_t UnansweredBackends = 0;
+  std::size_t TimedOut = 0; ///< Backends whose probes timed out.
+  Duration UnansweredFor{}; ///< Since the first such attempt.
 };
 
-/// Counters of a ServingReadiness; see docs/METRICS.md.
+/// Counters of ServingReadiness; see docs/METRICS.md.
 struct ServingCounters
 {
-  std::uint64_t Left = 0;
-  std::uint64_t Returned = 0;
+  std::uint64_t StoppedServing = 0;
+  std::uint64_t ResumedServing = 0;
   std::uint64_t Probes = 0;
 };
 
 /** \class ServingReadiness
- * \brief Notice that none of the back ends with room for callers is reached.
+ * \brief Decides whether this daemon reaches any backend.
  *
- * A daemon that is cut off from all back ends holds callers' openings to no
- * end, while daemons of other zones would serve them.  It counts as not
- * serving only where several back ends are silent at once, none has answered
- * since, and connections of its own to several time out.  A refused
- * connection tells nothing: the machine is reached, and other daemons would
- * find the same.
+ * A daemon that is partitioned from all backends drops connection attempts
+ * that daemons in other zones could serve.  It stops serving if several
+ * backends are unresponsive at the same time, none has responded since, and
+ * several probe connections time out.  A refused connection is no evidence:
+ * the host is reachable, and other daemons get the same result.
  */
 class ServingReadiness
 {
 public:
-  /// Say whether back ends have to be reached at all.
+  /// Enables the check; while it is disabled, the daemon is always serving.
   void SetRequired(bool required) { this->Required = required; }
 
-  /// An opening was sent on to a back end.
+  /// Records a connection attempt that was forwarded to a backend.
   void OnOpening(BackendId backend, ServiceId service, Time now);
 
-  /// A back end that takes new flows answered a caller.
+  /// Records a response to a client by a backend that accepts new flows.
   void OnAnswer(Time now);
 
-  /// Call on every tick; a process that stood still starts anew.
+  /// To be called on every tick.  Discards evidence after a long gap.
   void OnTick(Time now);
 
-  /// Call after the process was suspended.
+  /// To be called after the process was suspended.
   void OnResume();
 
-  /// Get services of which a back end each is to be probed now, drawn; the
-  /// result goes to OnProbe().
+  /// Returns the services to probe now, at one random backend each; the
+  /// results have to be passed to OnProbe().
   std::vector<ServiceId> TakeProbes(Time now);
 
-  /// A service of TakeProbes() has no back ends.
+  /// Records that a service returned by TakeProbes() has no backends.
   void OnNoBackends(ServiceId service, Time now);
 
   void OnProbe(BackendId backend, ProbeResult result, Time now);
@@ -86,28 +86,29 @@
 
   ServingReason GetReason() const { return this->Reason; }
 
-  /// Take the changes since the last call, for logs.
+  /// Returns the changes since the last call, for logs.
   std::vector<ServingChange> TakeChanges();
 
   const ServingCounters& GetCounters() const { return this->Counters; }
 
 private:
-  /// Tell whether something has been silent for long, and nothing answered.
-  bool IsAsking(Time now) const;
-  std::size_t CountSilent(Time now) const;
-  void Judge(Time now);
-  void Change(bool serving, ServingReason reason, Time now);
-  void Forget();
+  /// Returns whether to probe: while not serving, or if backends are
+  /// unresponsive.
+  bool IsProbing(Time now) const;
+  std::size_t CountUnanswered(Time now) const;
+  void UpdateServing(Time now);
+  void SetServing(bool serving, ServingReason reason, Time now);
+  void ClearEvidence();
 
   bool Required = true;
   bool Serving = true;
-  ServingReason Reason = ServingReason::kNothingKnown;
-  std::map<BackendId, Time> Unanswered; ///< First opening since any answer.
-  std::set<BackendId> TimedOut;         ///< Since any answer.
-  std::map<ServiceId, Time> Services;   ///< Last opening here.
-  ServiceId LastAsked{ 0 };
+  ServingReason Reason = ServingReason::kInitial;
+  std::map<BackendId, Time> Unanswered; ///< First attempt since any response.
+  std::set<BackendId> TimedOut;         ///< Since any response.
+  std::map<ServiceId, Time> RecentServices; ///< Last connection attempt.
+  ServiceId LastProbedService{ 0 };
   Time NextProbeAt{};
-  Time ReturnedAt{};
+  Time ResumedAt{};
   Time LastTickAt{};
   std::vector<ServingChange> Changes;
   ServingCounters Counters;
--- a/src/core/load/fleet_load.h
+++ b/src/core/load/fleet_load.h
@@ -1,5 +1,5 @@
 /// @file
-/// The load that the whole fleet sees, as far as this daemon has heard.  See
+/// Load of the whole fleet, as reported to this daemon.  See
 /// docs/design/008-scarce-room.md.
 #pragma once
 
@@ -8,36 +8,36 @@
 #include <optional>
 #include <vector>
 
-#include "core/load/load_figures.h"
 #include "core/load/load_limits.h"
 #include "core/load/load_meter.h"
+#include "core/load/load_statistics.h"
 #include "core/load/load_sum.h"
 
 namespace cobaltgauge::core {
 
-/// Slots of the back ends of a service in a zone that take openings; zero
-/// where they are all cold.
+/// Slots of the backends of a service in a zone that accept openings; zero if
+/// all are warming up.
 using ZoneSlots = std::map<LoadKey, std::uint32_t>;
 
-/// Where a daemon stands in the tree of followers.
-struct TreePlace
+/// Position of a daemon in the relay tree.
+struct TreePosition
 {
   std::optional<Endpoint> Upstream;
-  bool IsRoot = false;       ///< Its tree is the fleet that it can reach.
-  std::uint32_t Daemons = 0; ///< In the whole tree; zero: not known.
+  bool IsRoot = false;
+  std::uint32_t Daemons = 0; ///< Number in the whole tree; zero if unknown.
 };
 
 /// Counters of a FleetLoad; see docs/METRICS.md.
 struct FleetLoadCounters
 {
   std::uint64_t ReportsSent = 0;
-  std::uint64_t ReportsTaken = 0;
+  std::uint64_t ReportsAccepted = 0;
   std::uint64_t ReportsIgnored = 0; ///< Late, repeated or impossible.
-  std::uint64_t SummariesTaken = 0;
+  std::uint64_t SummariesAccepted = 0;
 };
 
-/// A zone has become busy for a service, or is no longer.
-struct LoadCrossing
+/// A zone became busy for a service or is no longer busy.
+struct ZoneBusyChange
 {
   LoadKey Key;
   bool IsBusy = false;
@@ -47,121 +47,137 @@
 };
 
 /** \class FleetLoad
- * \brief Add up the loads of a tree of followers, and say how much room is.
+ * \brief Sums the loads of the relay tree and provides the used capacity of
+ * zones.
  *
- * In each round the root asks; the question travels down at once, and each
- * daemon answers the one that it follows with the sum of its own load and of
- * its followers' reports, as soon as it has those.  The root's sum travels
- * down.  A daemon that sees callers rejected in calm times reports unasked.
+ * In each round the root sends a report request down the tree.  Each daemon
+ * reports the sum of its own load and of its followers' reports to its
+ * upstream as soon as it has received those.  The root sends the total down
+ * the tree as a summary.  A daemon that sees rejections while the report
+ * interval is long reports without a request.
  *
- * No daemon is counted twice: a report holds until a time on its receiver's
- * clock, however late it arrives, and who begins to follow another daemon
- * tells that one nothing until what it told the one before is counted on no
- * level above.  So the receiver adds up only reports of those who know that
- * they are that far below the root.
+ * No daemon is counted twice.  A report expires at a time on its receiver's
+ * clock, however late it arrives.  After a change of upstream, a daemon sends
+ * no report until its last report to the previous upstream has expired on all
+ * levels.  Only reports from a level further below the root are summed.
  */
-class FleetLoad : public RoomView
+class FleetLoad : public CapacityView
 {
 public:
   using SlotCounter = std::function<ZoneSlots(Time now)>;
 
-  /// \param self where this daemon takes peer messages.
+  /// \param self address at which this daemon receives peer messages.
   /// \param meter outlives this object.
   FleetLoad(const Endpoint& self, LoadMeter& meter, SlotCounter countSlots);
 
-  /// Off: nothing is told or known.
+  /// While disabled, nothing is reported and no statistics are available.
   void SetEnabled(bool enabled);
   bool IsEnabled() const { return this->Enabled; }
 
-  void OnTick(const TreePlace& place, Time now);
-  /// Note the clock of the daemon that is followed.
+  void OnTick(const TreePosition& position, Time now);
+  /// Record the clock of the upstream daemon.
   void OnUpstreamClock(std::uint64_t clockUs, Time now);
   void OnReport(const LoadReport& report, Time now);
-  /// \param sentAt on this daemon's clock; not later than it was.
+  /// \param sentAt time of sending on this daemon's clock, or earlier.
   void OnSummary(const LoadSummary& summary, Time sentAt, Time now);
-  /// Call after the process was suspended.
+  /// Must be called after the process was suspended.
   void OnResume();
 
-  /// Take the report that is due to the daemon that is followed.
+  /// Return the report that is due to the upstream daemon, if any.
   std::optional<LoadReport> TakeReport(Time now);
 
-  /// Get the daemon that reports are made for, as of the last tick.
+  /// Get the upstream daemon as of the last tick.
   const std::optional<Endpoint>& GetUpstream() const
   {
-    return this->Place.Upstream;
+    return this->Position.Upstream;
   }
-  /// Take what is due to the followers.
+  /// Return the messages that are due to the followers.
   std::vector<LoadSummary> TakeSummaries(Time now);
-  std::vector<LoadCrossing> TakeCrossings();
+  std::vector<ZoneBusyChange> TakeBusyChanges();
 
-  std::optional<ZoneRoom> GetRoom(ServiceId service,
-                                  ZoneId zone,
-                                  Time now) const override;
-  /// Get how old the figures are; nothing where there are none.
+  std::optional<ZoneCapacity> GetZoneCapacity(ServiceId service,
+                                              ZoneId zone,
+                                              Time now) const override;
+  /// Get the age of the statistics; nothing if there are none.
   std::optional<Duration> GetAge(Time now) const;
-  ZoneLoad GetLoad(const LoadKey& key) const { return this->Known.Get(key); }
+  ZoneLoad GetLoad(const LoadKey& key) const
+  {
+    return this->FleetTotals.Get(key);
+  }
   const ZoneSlots& GetSlots() const { return this->Slots; }
-  std::uint32_t CountDaemons() const { return this->Known.CountDaemons(); }
+  std::uint32_t CountDaemons() const
+  {
+    return this->FleetTotals.CountDaemons();
+  }
   const FleetLoadCounters& GetCounters() const { return this->Counters; }
 
 private:
-  struct Part
+  struct FollowerReport
   {
     LoadReport Report;
     Time SentAt{}; ///< On this daemon's clock.
-    Time TakenAt{};
-    Time Ends{};
+    Time ReceivedAt{};
+    Time ExpiresAt{};
   };
-  struct Sum
+  struct TreeLoad
   {
     LoadSum Loads;
-    Time AsOf{}; ///< Of the oldest part.
+    Time OldestAt{}; ///< Time of measurement of the oldest part.
   };
 
   std::optional<std::uint32_t> GetLevel() const;
-  Sum AddUp(std::uint32_t level, Time now) const;
-  /// Make the sum of this daemon's tree what is known of the fleet.
-  void KnowOwnTree(Time now);
-  /// Ask for reports, at the root.
-  void BeginRound(Time now);
-  void NoteNeed(Time now);
-  void NoteCrossings(Time now);
-  /// Tell whether the reports of a round are here, or not waited for.
-  bool IsGathered(Time now) const;
-  /// Tell whether callers were rejected that nobody has asked about.
-  bool IsUrgent(Time now) const;
-  /// Tell whether the figures are fresh, and hold enough daemons.
+  TreeLoad SumReports(std::uint32_t level, Time now) const;
+  /// Set the fleet totals to the sum of this daemon's tree, at the root.
+  void UpdateFleetTotals(Time now);
+  /// Request reports, at the root.
+  void StartRound(Time now);
+  void UpdateInterval(Time now);
+  void DetectBusyChanges(Time now);
+  /// Return whether all reports of a round have arrived or its timeout has
+  /// expired.
+  bool HasGatheredReports(Time now) const;
+  /// Return whether a report about rejections is due without a request.
+  bool HasUnreportedRejections(Time now) const;
+  /// Return whether the statistics are recent and cover enough daemons.
   bool IsUsable(Time now) const;
-  bool IsBusy() const { return this->Interval < kCalmReportEvery; }
+  bool IsBusy() const { return this->Interval < kNormalReportInterval; }
   double GetUtilization(const LoadKey& key, std::uint32_t slots) const;
-  std::vector<ZoneLoad> GetTold(const LoadSum& loads) const;
+  std::vector<ZoneLoad> SelectLoads(const LoadSum& loads) const;
   LoadSummary MakeSummary(std::uint32_t level, Time now) const;
 
   Endpoint Self;
   LoadMeter& Meter;
   SlotCounter CountSlots;
   bool Enabled = true;
-  TreePlace Place;
-  std::optional<std::int64_t> ClockLead; ///< Upstream's clock less this one.
+  TreePosition Position;
+  /// Upstream's clock minus this daemon's, in microseconds.
+  std::optional<std::int64_t> UpstreamClockOffset;
   std::optional<std::uint32_t> UpstreamLevel;
-  std::uint64_t SummarySentAtUs = 0; ///< By upstream's clock, the latest.
-  std::uint64_t QuestionSentAtUs = 0;
-  std::map<Endpoint, Part> Parts; ///< By follower.
+  /// Latest times of sending, by upstream's clock.
+  std::uint64_t SummarySentAtUs = 0;
+  std::uint64_t RequestSentAtUs = 0;
+  std::map<Endpoint, FollowerReport> FollowerReports; ///< By follower.
   ZoneSlots Slots;
-  Time NextCountAt{};
-  LoadSum Known;
-  std::optional<Time> KnownAsOf;
-  std::optional<Time> AskedAt; ///< When the round began, until it is gathered.
-  Duration Interval = kCalmReportEvery; ///< Of rounds, by the root.
-  bool HasQuestion = false;             ///< For the followers.
-  bool HasNews = false;                 ///< For the followers.
-  Time NextAt{};                        ///< Of the next round, at the root.
-  Time BusyUntil{};                     ///< At the root.
-  Time UrgentAt{};                      ///< Of the last report unasked.
-  std::optional<Endpoint> ReportedTo;
-  Time CountedUntil{}; ///< What was told may be, on some level above.
+  Time NextSlotCountAt{};
+  LoadSum FleetTotals;
+  std::optional<Time> FleetTotalsAsOf;
+  /// Start of the round; nothing once the reports are complete.
+  std::optional<Time> RoundStartedAt;
+  /// Interval between rounds, set by the root.
+  Duration Interval = kNormalReportInterval;
+  // Messages due to the followers.
+  bool HasPendingRequest = false;
+  bool HasPendingSummary = false;
+  // Used by the root only.
+  Time NextRoundAt{};
+  Time BusyUntil{};
+
+  Time LastReportAt{};
+  std::optional<Endpoint> LastReportTarget;
+  /// When the last report has expired on all levels above.
+  Time LastReportExpiresAt{};
   std::map<LoadKey, bool> BusyZones;
-  std::vector<LoadCrossing> Crossings;
+  std::vector<ZoneBusyChange> BusyChanges;
   FleetLoadCounters Counters;
 };
 
--- a/src/core/load/load_meter.h
+++ b/src/core/load/load_meter.h
@@ -1,6 +1,5 @@
 /// @file
-/// The load that this daemon sees itself.  See
-/// docs/design/008-scarce-room.md.
+/// Load measured by this daemon.  See docs/design/008-scarce-room.md.
 #pragma once
 
 #include <array>
@@ -10,51 +9,53 @@
 #include <utility>
 #include <vector>
 
-#include "core/load/answer_time.h"
-#include "core/load/load_figures.h"
 #include "core/load/load_limits.h"
+#include "core/load/load_statistics.h"
+#include "core/load/response_time_average.h"
 
 namespace cobaltgauge::core {
 
-/// The back ends of a service in a zone.
+/// Identifies the backends of a service in a zone.
 using LoadKey = std::pair<ServiceId, ZoneId>;
 
-/** \class SlidingSecond
- * \brief Count events of the last second, in parts of it.
+/** \class SlidingWindowCounter
+ * \brief Counts the events of the last second.
  */
-class SlidingSecond
+class SlidingWindowCounter
 {
 public:
   void Add(Time now);
   std::uint32_t Get(Time now) const;
 
 private:
-  std::array<std::uint32_t, kLoadSecondParts> Parts{};
-  std::int64_t Latest = 0; ///< Number of the part that was counted last.
+  std::array<std::uint32_t, kLoadWindowBuckets> Buckets{};
+  /// Number of the latest bucket since the epoch of the clock.
+  std::int64_t LatestBucket = 0;
 };
 
 /** \class LoadMeter
- * \brief Count this daemon's requests in flight, openings and rejections.
+ * \brief Counts this daemon's requests in flight, openings and rejections.
  *
- * A request is in flight from its opening or data to its answer.  One whose
- * caller vanished fades.
+ * A request is in flight from its opening or data until its response.  A
+ * request without a response expires.
  */
 class LoadMeter : public OpeningListener
 {
 public:
-  /// An opening was sent on, for the first time or again.
+  /// An opening was forwarded, for the first time or retransmitted.
   void OnOpening(FlowFingerprint flow, const LoadKey& key, Time now);
-  /// New data of a caller was sent on.
+  /// New data of a client was forwarded.
   void OnRequest(FlowFingerprint flow, const LoadKey& key, Time now);
-  /// What was sent last is answered.
-  void OnAnswered(FlowFingerprint flow, Time now);
-  /// The caller or the back end has gone.
-  void OnGone(FlowFingerprint flow);
+  /// The latest request or opening of a flow got a response.
+  void OnResponse(FlowFingerprint flow, Time now);
+  /// The client or the backend of a flow is gone.
+  void OnFlowEnded(FlowFingerprint flow);
   void OnOpeningEnded(const OpeningResult& result, Time now) override;
 
-  /// Let requests fade, and forget zones without load; at any time.
+  /// Expire requests and remove zones without load.  May be called at any
+  /// time.
   void OnTick(Time now);
-  /// Forget what is in flight; for a process that was suspended.
+  /// Discard all requests and counts after the process was suspended.
   void Clear();
 
   std::vector<ZoneLoad> GetLoads(Time now) const;
@@ -64,24 +65,24 @@
   {
     LoadKey Key;
     Time SentAt{};
-    Time FadesAt{};
+    Time ExpiresAt{};
     bool IsOpening = false;
-    bool IsCounted = true; ///< Has not faded.
+    bool IsCounted = true; ///< Has not expired.
   };
   struct Counts
   {
     std::uint32_t InFlight = 0;
-    SlidingSecond Openings;
-    SlidingSecond Rejected;
+    SlidingWindowCounter Openings;
+    SlidingWindowCounter Rejected;
   };
 
-  void Put(FlowFingerprint flow, const Request& request);
-  void Fade(Request& request);
-  Duration GetFadeTime(ServiceId service) const;
+  void Track(FlowFingerprint flow, const Request& request);
+  void Expire(Request& request);
+  Duration GetRequestTimeout(ServiceId service) const;
 
   std::unordered_map<FlowFingerprint, Request> Requests;
   std::map<LoadKey, Counts> Zones;
-  std::unordered_map<ServiceId, AnswerTime> Usual;
+  std::unordered_map<ServiceId, ResponseTimeAverage> ResponseTimes;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/backend_chooser.h
+++ b/src/core/placement/backend_chooser.h
@@ -1,5 +1,5 @@
 /// @file
-/// Chooses the back end that a new flow gets.
+/// Selects the backend for a new flow.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 #include "core/opening_pacer.h"
 #include "core/outlier/answer_times.h"
 #include "core/placement/demotion.h"
-#include "core/placement/zone_spill.h"
+#include "core/placement/zone_spillover.h"
 #include "core/random.h"
 #include "core/route_table.h"
 #include "core/token_flows.h"
@@ -17,20 +17,22 @@
 
 namespace cobaltgauge::core {
 
-/// A back end for a new flow, with what decided.
+/// The backend selected for a new flow, with the inputs of the decision.
 struct PlacementChoice
 {
-  BackendId Id = kNoBackend; ///< kNoBackend: none takes flows.
+  BackendId Id = kNoBackend; ///< kNoBackend: no backend is available.
   std::uint32_t Capacity = 1;
-  bool Busy = true;     ///< Was given an opening only just now.
-  bool Cold = false;    ///< Counts for the bound of what a cold back end gets.
-  bool Spilled = false; ///< Left the preferred zone for want of room.
-  std::size_t Candidates = 0;     ///< That could have been chosen.
-  std::size_t SlowCandidates = 0; ///< Of those compared, with slow answers.
-  std::size_t ColdCandidates = 0; ///< Of those compared, given all they bear.
+  bool Busy = true;           ///< Received another opening very recently.
+  bool WarmUpLimited = false; ///< Is subject to a warm-up rate limit.
+  bool Spilled = false;       ///< Left the preferred zone due to overload.
+  std::size_t Candidates = 0;
+  /// Compared candidates with slow responses.
+  std::size_t SlowCandidates = 0;
+  /// Compared candidates that have reached their warm-up rate limit.
+  std::size_t WarmUpExhaustedCandidates = 0;
 };
 
-/// What a BackendChooser looks at; all of it outlives the chooser.
+/// Inputs of a BackendChooser; all must outlive the chooser.
 struct PlacementInputs
 {
   BackendRegistry& Backends;
@@ -38,96 +40,98 @@
   const TokenFlows& Flows;
   const OpeningPacer& Pacer;
   const WarmUpBudget& WarmUps;
-  const AnswerTimes& Answers;
-  Random& Draws;
-  ZoneSpill& Spill;
+  const AnswerTimes& ResponseTimes;
+  Random& RandomSource;
+  ZoneSpillover& Spill;
 };
 
 /** \class BackendChooser
- * \brief Find the best back end for a new flow.
+ * \brief Selects the best backend for a new flow.
  *
- * It decides and notes nothing: whoever follows the choice tells the parts
- * that it was made of.
+ * The choice is not recorded in the inputs; the caller does so if it uses the
+ * choice.
  */
 class BackendChooser
 {
 public:
   explicit BackendChooser(const PlacementInputs& inputs)
-    : In(inputs)
+    : Inputs(inputs)
   {
   }
 
-  /// Add a reason to put back ends last.
   /// \param demotion outlives the chooser.
   void AddDemotion(Demotion& demotion)
   {
     this->Demotions.push_back(&demotion);
   }
 
-  /// Choose for a flow of a route, in turn of the route's split.
-  /// \param avoided the back end that left this opening unanswered.
+  /// Choose a backend for a flow of a route.  Advances the traffic split.
+  /// \param avoided the backend that left this opening without a response.
   PlacementChoice Choose(RouteEntry& route, BackendId avoided, Time now);
 
 private:
   using Candidates = std::vector<PlacementCandidate>;
 
-  struct Rated
+  struct ScoredBackend
   {
     BackendId Id = kNoBackend;
     ServiceId Service{ 0 };
     ZoneId Zone = kNoZone;
     std::uint32_t Capacity = 1;
-    bool Excluded = true; ///< The policy gives it no new flow.
-    bool Last = true;
+    bool Excluded = true; ///< Has weight zero.
+    bool Deprioritized = true;
     bool Busy = true;
     bool Slow = false;
-    bool Cold = false;
-    bool ColdHeld = false; ///< Cold, and may be given nothing now.
+    bool WarmUpLimited = false;
+    bool WarmUpExhausted = false; ///< Has reached its warm-up rate limit.
     double Load = 0;
   };
 
-  Rated ChooseForRoute(RouteEntry& route, BackendId avoided, Time now);
-  /// Choose of registered back ends and of those whose registrations lapsed.
-  Rated ChooseOfService(ServiceId service,
-                        const RouteEntry& route,
-                        BackendId avoided,
-                        Time now);
-  /// Choose of those in regions that the route allows.
-  Rated ChooseAllowed(const Candidates& candidates,
-                      const RouteEntry& route,
+  ScoredBackend ChooseForRoute(RouteEntry& route, BackendId avoided, Time now);
+  /// Choose among registered backends and those with expired registrations.
+  ScoredBackend ChooseOfService(ServiceId service,
+                                const RouteEntry& route,
+                                BackendId avoided,
+                                Time now);
+  /// Choose among candidates in the regions that the route allows.
+  ScoredBackend ChooseAllowed(const Candidates& candidates,
+                              const RouteEntry& route,
+                              BackendId avoided,
+                              Time now);
+  ScoredBackend ChooseAmong(const Candidates& candidates,
+                            BackendId avoided,
+                            Time now);
+  /// Replace a choice by one from another zone if its zone is overloaded.
+  ScoredBackend Spill(const ScoredBackend& first,
+                      const Candidates& candidates,
                       BackendId avoided,
                       Time now);
-  Rated ChooseAmong(const Candidates& candidates, BackendId avoided, Time now);
-  /// Leave the zone of a choice where it has too little room.
-  Rated Spill(const Rated& first,
-              const Candidates& candidates,
-              BackendId avoided,
-              Time now);
-  bool Stays(const Rated& rated);
-  /// \param without zones whose back ends, and all cold ones, are passed over;
-  /// null: none are.
-  Rated ChooseWithout(const Candidates& candidates,
-                      const std::vector<ZoneId>* without,
+  bool StaysInZone(const ScoredBackend& scored);
+  /// \param excludedZones null for a choice among all candidates; otherwise
+  /// candidates in these zones, and those warming up, are skipped.
+  ScoredBackend ChooseOutsideZones(const Candidates& candidates,
+                                   const std::vector<ZoneId>* excludedZones,
+                                   BackendId avoided,
+                                   Time now);
+  /// \param sampleSize number of candidates that are compared; selected at
+  /// random if fewer than all.
+  ScoredBackend ChooseBest(const Candidates& candidates,
+                           std::size_t sampleSize,
+                           const std::vector<ZoneId>* excludedZones,
+                           BackendId avoided,
+                           Time now);
+  bool AcceptsSpilled(const PlacementCandidate& candidate,
+                      const std::vector<ZoneId>& excludedZones,
+                      Time now) const;
+  ScoredBackend Score(const PlacementCandidate& candidate,
                       BackendId avoided,
-                      Time now);
-  /// \param looks how many are compared; where not all, drawn at random.
-  Rated ChooseBest(const Candidates& candidates,
-                   std::size_t looks,
-                   const std::vector<ZoneId>* without,
-                   BackendId avoided,
-                   Time now);
-  bool MayTakeSpilled(const PlacementCandidate& candidate,
-                      const std::vector<ZoneId>& without,
                       Time now) const;
-  Rated Rate(const PlacementCandidate& candidate,
-             BackendId avoided,
-             Time now) const;
-  bool ComesLast(const PlacementCandidate& candidate, Time now) const;
-  static bool IsBetter(const Rated& left, const Rated& right);
+  bool IsDeprioritized(const PlacementCandidate& candidate, Time now) const;
+  static bool IsBetter(const ScoredBackend& left, const ScoredBackend& right);
 
-  PlacementInputs In;
+  PlacementInputs Inputs;
   std::vector<Demotion*> Demotions;
-  PlacementChoice Seen; ///< Counts of the choice that is being made.
+  PlacementChoice Result; ///< The choice in progress.
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/candidate_list.h
+++ b/src/core/placement/candidate_list.h
@@ -1,5 +1,5 @@
 /// @file
-/// The back ends of one service that may be given new flows.
+/// The backends of one service that may be selected for new flows.
 #pragma once
 
 #include <cstddef>
@@ -11,54 +11,53 @@
 namespace cobaltgauge::core {
 
 /** \class CandidateList
- * \brief Candidates in no order, each found by its id.
+ * \brief Unordered list of candidates with lookup by id.
  *
- * A change of one back end costs the same whatever the number of the others.
- * Collecting 8,000 of them anew took 2 ms, at every opening while back ends
- * come and go.
+ * Adding, updating and removing a candidate takes constant time.
  */
 class CandidateList
 {
 public:
-  /// Add a candidate, or take what it says now.
+  /// Add a candidate or replace the one with the same id.
   void Put(const PlacementCandidate& candidate)
   {
-    const auto [place, isNew] =
-      this->Places.try_emplace(candidate.id, this->Items.size());
+    const auto [index, isNew] =
+      this->IndexById.try_emplace(candidate.id, this->Items.size());
     if (isNew) {
       this->Items.push_back(candidate);
     } else {
-      this->Items[place->second] = candidate;
+      this->Items[index->second] = candidate;
     }
   }
 
   void Remove(BackendId id)
   {
-    const auto found = this->Places.find(id);
-    if (found == this->Places.end()) {
+    const auto found = this->IndexById.find(id);
+    if (found == this->IndexById.end()) {
       return;
     }
-    const std::size_t place = found->second;
-    this->Places.erase(found);
-    if (place + 1 != this->Items.size()) {
-      this->Items[place] = this->Items.back();
-      this->Places[this->Items[place].id] = place;
+    const std::size_t index = found->second;
+    this->IndexById.erase(found);
+    if (index + 1 != this->Items.size()) {
+      this->Items[index] = this->Items.back();
+      this->IndexById[this->Items[index].id] = index;
     }
     this->Items.pop_back();
   }
 
-  /// \return null where it is none.
+  /// \return null if the backend is not a candidate.
   const PlacementCandidate* Find(BackendId id) const
   {
-    const auto found = this->Places.find(id);
-    return found == this->Places.end() ? nullptr : &this->Items[found->second];
+    const auto found = this->IndexById.find(id);
+    return found == this->IndexById.end() ? nullptr
+                                          : &this->Items[found->second];
   }
 
   const std::vector<PlacementCandidate>& GetAll() const { return this->Items; }
 
 private:
   std::vector<PlacementCandidate> Items;
-  std::unordered_map<BackendId, std::size_t> Places;
+  std::unordered_map<BackendId, std::size_t> IndexById;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/relay/relay_timing.h
+++ b/src/core/relay/relay_timing.h
@@ -1,6 +1,6 @@
 /// @file
-/// How long each step may take until a view that may be old is the store's
-/// again, for the time in which changes have to be in force.
+/// Time limits for detecting and refreshing a stale view, derived from the
+/// time within which changes have to be in effect.
 #pragma once
 
 #include <algorithm>
@@ -10,31 +10,32 @@
 
 namespace cobaltgauge::core {
 
-/// Time limits that follow from one bound.  The ratios are those of the
-/// constants, which fit a bound of kChangesInForce; a longer one does not
-/// stretch them, since a fresh view is better and costs little.
+/// Time limits derived from one bound.  The constants fit a bound of
+/// kChangePropagationDeadline.  A shorter bound scales them down; a longer
+/// bound does not extend them.
 struct RelayTiming
 {
-  Duration WatchWait = kWatchWait;
-  Duration CurrentFor = kViewCurrentFor;
-  Duration AskPeersAfter = kAskPeersAfter;
-  Duration SeedReadsAfter = kSeedReadsAfter;
-  Duration FollowerReadsAfter = kFollowerReadsAfter;
-  Duration RareTryAfter = kReadBackOffCovered;
-  /// Of what a looser bound leaves, a half goes to waiting for a peer's
-  /// changes where the store's history is gone, before everyone lists it all.
-  Duration ListAgainWithin{ 0 };
+  Duration WatchWait = kWatchMaxWait;
+  Duration CurrentFor = kViewFreshnessPeriod;
+  Duration AskPeersAfter = kPeerQueryViewAge;
+  Duration SeedReadsAfter = kSeedReadViewAge;
+  Duration FollowerReadsAfter = kFollowerReadViewAge;
+  Duration CoveredRetryInterval = kReadBackoffWithSeed;
+  /// How long a view waits for a peer's changes before listing again after the
+  /// store discarded its history.  Half of what the bound leaves beyond
+  /// kChangePropagationDeadline.
+  Duration MaxRelistDelay{ 0 };
 
-  /// Get the limits for changes that have to be in force within `bound`.
-  static RelayTiming Within(Duration bound)
+  /// Get the limits for changes that have to be in effect within `bound`.
+  static RelayTiming ForBound(Duration bound)
   {
-    const Duration shorter = std::min(bound, kChangesInForce);
+    const Duration shorter = std::min(bound, kChangePropagationDeadline);
     const auto scaled = [shorter](Duration duration) {
-      return duration * shorter.count() / kChangesInForce.count();
+      return duration * shorter.count() / kChangePropagationDeadline.count();
     };
-    return { scaled(kWatchWait),          scaled(kViewCurrentFor),
-             scaled(kAskPeersAfter),      scaled(kSeedReadsAfter),
-             scaled(kFollowerReadsAfter), scaled(kReadBackOffCovered),
+    return { scaled(kWatchMaxWait),        scaled(kViewFreshnessPeriod),
+             scaled(kPeerQueryViewAge),    scaled(kSeedReadViewAge),
+             scaled(kFollowerReadViewAge), scaled(kReadBackoffWithSeed),
              (bound - shorter) / 2 };
   }
 };
--- a/src/core/relay/seed_group.cc
+++ b/src/core/relay/seed_group.cc
@@ -8,11 +8,11 @@
 
 namespace cobaltgauge::core {
 
-void SeedGroup::Set(const std::vector<Endpoint>& seeds)
+void SeedGroup::SetSeeds(const std::vector<Endpoint>& seeds)
 {
   this->Others = seeds;
   this->SelfIsSeed = std::erase(this->Others, this->Self) != 0;
-  // Each daemon prefers seeds in an order of its own, which spreads followers.
+  // A different order for each daemon distributes followers among the seeds.
   const std::uint64_t own = EndpointHash{}(this->Self);
   std::sort(this->Others.begin(),
             this->Others.end(),
@@ -35,34 +35,35 @@
   if (!this->Contains(update.sender)) {
     return;
   }
-  this->HeardAt = now;
-  // Parts and daemons without a view say nothing about the store, and what is
-  // no answer may have waited.
+  this->LastHeardAt = now;
+  // Partial updates and daemons without a view do not reflect the state of the
+  // store.  An unsolicited update may have been delayed.
   if (update.echoUs == 0 || update.confirmedUs == 0) {
     return;
   }
   const Duration age(static_cast<Duration::rep>(update.clockUs) -
                      static_cast<Duration::rep>(update.confirmedUs));
-  const bool isFailing = age >= timing.SeedReadsAfter + kSeedTriesWithin;
-  this->FailedAt = isFailing ? now : Time{};
+  const bool isFailing = age >= timing.SeedReadsAfter + kSeedReadAttemptWindow;
+  this->StoreFailureAt = isFailing ? now : Time{};
 }
 
 void SeedGroup::OnTick(Time now)
 {
-  if (this->HeardAt == Time{}) {
-    this->HeardAt = now;
+  if (this->LastHeardAt == Time{}) {
+    this->LastHeardAt = now;
   }
 }
 
-bool SeedGroup::IsCovered(Time now) const
+bool SeedGroup::HasReachableSeed(Time now) const
 {
   return !this->SelfIsSeed && !this->Others.empty() &&
-    now - this->HeardAt < kSeedHeardWithin;
+    now - this->LastHeardAt < kSeedLivenessWindow;
 }
 
-bool SeedGroup::HasFailed(Time now) const
+bool SeedGroup::IsStoreFailing(Time now) const
 {
-  return this->FailedAt != Time{} && now - this->FailedAt < kSeedHeardWithin;
+  return this->StoreFailureAt != Time{} &&
+    now - this->StoreFailureAt < kSeedLivenessWindow;
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/view_conversion.cc
+++ b/src/core/view_conversion.cc
@@ -4,7 +4,7 @@
 
 namespace cobaltgauge::core {
 
-std::uint32_t wholeMilliseconds(Duration duration) {
+std::uint32_t toMilliseconds(Duration duration) {
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
@@ -19,7 +19,7 @@
           registration.softwareVersion,
           registration.capacity,
           registration.state == BackendState::kLeaving,
-          wholeMilliseconds(registration.warmUpLeft),
+          toMilliseconds(registration.warmUpLeft),
           registration.startedAtMs,
           registration.statement};
 }
@@ -54,22 +54,21 @@
     message.weights.push_back(target.weight);
   }
   message.kind = route.kind;
-  message.latencyGoalMs = wholeMilliseconds(route.latencyGoal);
-  message.timeoutMs = wholeMilliseconds(route.timeout);
+  message.latencyGoalMs = toMilliseconds(route.latencyGoal);
+  message.timeoutMs = toMilliseconds(route.timeout);
   message.priority = route.priority;
   message.allowedRegions = route.allowedRegions;
   return message;
 }
 
 ViewService toMessage(const ServiceTraits& service) {
-  return {service.name, wholeMilliseconds(service.warmUp), service.coldOpenings};
+  return {service.name, toMilliseconds(service.warmUp), service.warmUpRateLimit};
 }
 
 ServiceTraits toTraits(const ViewService& message) {
-  return {message.name, std::chrono::milliseconds(message.warmUpMs), message.coldOpenings};
+  return {message.name, std::chrono::milliseconds(message.warmUpMs), message.warmUpRateLimit};
 }
 
-/// @return the route, or nothing where it has no targets.
 std::optional<Route> toRoute(const ViewRoute& message) {
   if (message.services.empty() || message.services.size() != message.weights.size()) {
     return std::nullopt;
@@ -90,7 +89,7 @@
 
 ViewRouteDelta toMessage(const StoreChange& change, const RouteDelta& delta) {
   ViewRouteDelta message{
-      change.key, change.revision, delta.from, delta.version, wholeMilliseconds(delta.idleTimeout),
+      change.key, change.revision, delta.from, delta.version, toMilliseconds(delta.idleTimeout),
       {},         delta.dropped};
   for (const Route& route : delta.changed) {
     message.changed.push_back(toMessage(route));
@@ -101,7 +100,7 @@
   return message;
 }
 
-/// A whole set is what changes where nothing is in force.
+/// A full route set is a delta to version zero.
 ViewRouteDelta toMessage(const StoreChange& change, const RouteSet& routes) {
   return toMessage(
       change,
@@ -148,12 +147,12 @@
   }
 }
 
-std::vector<StoreChange> changesOf(const ViewUpdate& update) {
+std::vector<StoreChange> toStoreChanges(const ViewUpdate& update) {
   std::vector<StoreChange> changes;
   for (const ViewBackend& backend : update.backends) {
     changes.push_back(toChange(backend));
   }
-  // A removal of what was never seen leaves no trace: whatever it removes comes before it.
+  // Added items come before removals: the removal of an unknown evacuation has no effect.
   for (const ViewEvacuation& evacuation : update.evacuations) {
     changes.push_back(toChange(evacuation));
   }
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -31,7 +31,7 @@
          this->Meter,
          [this](core::Time now) {
            // Slots of a sample would make every zone look full.
-           return this->View.Reader.isWhole()
+           return this->View.Reader.hasAllBackends()
              ? this->View.Steering.backends().countSlots(now)
              : core::ZoneSlots{};
          })
@@ -57,7 +57,7 @@
   this->SetLoadReports(settings.loadReports);
   this->Relay.SetLoad(&this->Load);
   this->Relay.SetDifference(&this->Difference);
-  this->Relay.SetTiming(core::RelayTiming::Within(std::min(
+  this->Relay.SetTiming(core::RelayTiming::ForBound(std::min(
     { settings.applyWithin, settings.drainWithin, settings.evacuateWithin })));
 }
 
@@ -92,11 +92,11 @@
 void PeerLink::OnStoreAnswer(core::Time now)
 {
   this->Exchange.onTick(now); // A first read that fails lets it ask peers.
-  this->Relay.OnStoreAnswer(now);
+  this->Relay.OnStoreReply(now);
   this->Send();
 }
 
-void PeerLink::Tell(const core::GroupNotice& notice)
+void PeerLink::Tell(const core::UnreachableGroupsNotice& notice)
 {
   if (notice.Groups.empty()) {
     return; // As after nearly every batch of packets.
@@ -124,18 +124,19 @@
     changed = this->TakeTransfer(*transfer, now);
   } else if (const auto* subscription =
                std::get_if<core::ViewSubscription>(&frame)) {
-    this->Exchange.learnPeers({ subscription->replyTo });
+    this->Exchange.addPeers({ subscription->replyTo });
     this->Relay.OnSubscription(*subscription, now);
   } else if (const auto* update = std::get_if<core::ViewUpdate>(&frame)) {
     changed = this->TakeUpdate(*update, now);
   } else if (const auto* report = std::get_if<core::OutlierReport>(&frame)) {
-    this->Relay.OnReport(*report, now);
+    this->Relay.OnOutlierReport(*report, now);
     this->LogOutliers();
   } else if (const auto* load = std::get_if<core::LoadReport>(&frame)) {
     this->Relay.OnLoadReport(*load, now);
   } else if (const auto* sum = std::get_if<core::LoadSummary>(&frame)) {
     this->Relay.OnLoadSummary(*sum, now);
-  } else if (const auto* notice = std::get_if<core::GroupNotice>(&frame)) {
+  } else if (const auto* notice =
+               std::get_if<core::UnreachableGroupsNotice>(&frame)) {
     this->View.Steering.onGroupNotice(*notice, now);
   } else if (const auto* asked = std::get_if<core::ViewPageRequest>(&frame)) {
     this->Fill.OnRequest(*asked, now);
@@ -159,16 +160,16 @@
              { "version", std::to_string(transfer.version) },
              { "age_ms", std::to_string(transfer.ageMs) },
              { "backends", std::to_string(transfer.backends.size()) } });
-  this->Relay.OnStoreAnswer(now);
+  this->Relay.OnStoreReply(now);
   return true;
 }
 
 bool PeerLink::TakeUpdate(const core::ViewUpdate& update, core::Time now)
 {
-  this->Exchange.learnPeers(update.peers);
+  this->Exchange.addPeers(update.peers);
   const core::UpdateOutcome outcome = this->Relay.OnUpdate(update, now);
   this->LogUpstream(now);
-  return outcome == core::UpdateOutcome::kTaken;
+  return outcome == core::UpdateOutcome::kApplied;
 }
 
 void PeerLink::FillView(core::Time now)
@@ -176,14 +177,14 @@
   if (!this->Fill.IsNeeded()) {
     return;
   }
-  core::FillPeers peers;
+  core::BackfillPeers peers;
   peers.Known = this->Exchange.peers();
   if (this->Relay.GetUpstream()) {
     peers.Near.push_back(*this->Relay.GetUpstream());
   }
   peers.Seeds = this->Relay.GetSeeds();
   peers.IsSeed = this->Relay.IsSeed();
-  peers.Fleet = this->Relay.CountFleet(now);
+  peers.FleetSize = this->Relay.GetFleetSize(now);
   this->Fill.OnTick(peers, now);
 }
 
@@ -207,7 +208,7 @@
 
 void PeerLink::LogOutliers()
 {
-  for (const core::BackendId backend : this->Relay.TakeFoundOutliers()) {
+  for (const core::BackendId backend : this->Relay.TakeDetectedOutliers()) {
     logOutlier(backend, this->View.Reader.revision());
   }
 }
@@ -215,7 +216,7 @@
 void PeerLink::LogLoad()
 {
   const core::BackendRegistry& backends = this->View.Steering.backends();
-  for (const core::LoadCrossing& crossing : this->Load.TakeCrossings()) {
+  for (const core::ZoneBusyChange& crossing : this->Load.TakeBusyChanges()) {
     logLoadCrossing(crossing, backends, this->Load.CountDaemons());
   }
 }
@@ -232,10 +233,12 @@
   for (const core::OutgoingView& outgoing : this->Exchange.takeMessages()) {
     send(outgoing.destination, outgoing.message);
   }
-  for (const core::OutgoingFill& outgoing : this->Fill.TakeMessages()) {
+  for (const core::OutgoingBackfillMessage& outgoing :
+       this->Fill.TakeMessages()) {
     send(outgoing.Destination, outgoing.Message);
   }
-  for (const core::OutgoingRelay& outgoing : this->Relay.TakeMessages()) {
+  for (const core::OutgoingRelayMessage& outgoing :
+       this->Relay.TakeMessages()) {
     send(outgoing.Destinations, outgoing.Message);
   }
 }
--- a/src/daemon/peers/peer_link.h
+++ b/src/daemon/peers/peer_link.h
@@ -10,7 +10,7 @@
 
 #include "core/load/fleet_load.h"
 #include "core/outlier/outlier_detector.h"
-#include "core/relay/view_fill.h"
+#include "core/relay/view_backfill.h"
 #include "core/relay/view_relay.h"
 #include "core/token_steering.h"
 #include "core/view_exchange.h"
@@ -63,7 +63,7 @@
   void OnStoreAnswer(core::Time now);
   /// Tell the daemons next to this one that groups were found silent; each
   /// that finds the same passes it on.
-  void Tell(const core::GroupNotice& notice);
+  void Tell(const core::UnreachableGroupsNotice& notice);
   /// Call after the process was suspended.
   void OnResume() { this->Relay.OnResume(); }
   /// Tell the peers that this daemon stops.
@@ -71,7 +71,7 @@
 
   const core::ViewExchange& GetExchange() const { return this->Exchange; }
   const core::ViewRelay& GetRelay() const { return this->Relay; }
-  const core::ViewFill& GetFill() const { return this->Fill; }
+  const core::ViewBackfill& GetFill() const { return this->Fill; }
   const net::PeerTransportCounters& GetTransportCounters() const
   {
     return this->Peers.counters();
@@ -100,7 +100,7 @@
   core::FleetLoad Load;
   core::ViewDifference Difference;
   core::ViewRelay Relay;
-  core::ViewFill Fill;
+  core::ViewBackfill Fill;
   net::PeerTransport Peers;
   std::optional<core::Endpoint> LoggedUpstream;
 };
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -51,14 +51,14 @@
   const core::OpeningDecision& decision = steering.lastDecision();
   logEvent(LogLevel::kInfo, "opening_forwarded",
            {{"flow", flowText(packet.flow)},
-            {"copy", std::to_string(packet.openingCopy)},
+            {"copy", std::to_string(packet.openingRetransmission)},
             {"rule", toString(forward.reason)},
             {"backend", hex(forward.backend.id)},
             {"route", decision.route},
             {"open_flows", std::to_string(decision.openFlows)},
             {"candidates", std::to_string(decision.candidates)},
             {"slow", std::to_string(decision.slowCandidates)},
-            {"cold", std::to_string(decision.coldCandidates)},
+            {"cold", std::to_string(decision.warmingUpCandidates)},
             {"spilled", decision.spilled ? "yes" : "no"},
             {"version", std::to_string(decision.version)},
             {"revision", toString(viewRevision)}});
@@ -95,7 +95,7 @@
            {{"flow", flowText(packet.flow)},
             {"reason", reason},
             {"token", std::to_string(static_cast<std::uint32_t>(packet.token))},
-            {"copy", std::to_string(packet.openingCopy)},
+            {"copy", std::to_string(packet.openingRetransmission)},
             {"version", std::to_string(steering.routes().version())},
             {"revision", toString(viewRevision)}});
 }
@@ -150,7 +150,7 @@
           LogLevel::kInfo, "view_listed",
           {{"backends", std::to_string(change.backends)}, {"revision", toString(change.revision)}});
       return;
-    case core::ViewChange::Kind::kWhole:
+    case core::ViewChange::Kind::kAllBackendsKnown:
       logEvent(LogLevel::kInfo, "view_whole",
                {{"backends", std::to_string(change.backends)},
                 {"view_age_ms", std::to_string(viewAge / std::chrono::milliseconds(1))}});
@@ -188,16 +188,16 @@
             {"outcome", toString(reply.outcome)},
             {"changes", std::to_string(reply.changes.size())},
             {"latency_ms", std::to_string(latency / std::chrono::milliseconds(1))},
-            {"store_revision", toString(reply.at)},
+            {"store_revision", toString(reply.revision)},
             {"revision", toString(viewRevision)}});
 }
 
 void logServingChange(const core::ServingChange& change, core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, change.Serving ? "serving" : "not_serving",
            {{"reason", core::ToString(change.Reason)},
-            {"silent", std::to_string(change.Silent)},
+            {"silent", std::to_string(change.UnansweredBackends)},
             {"probes_timed_out", std::to_string(change.TimedOut)},
-            {"silent_ms", std::to_string(change.Since / std::chrono::milliseconds(1))},
+            {"silent_ms", std::to_string(change.UnansweredFor / std::chrono::milliseconds(1))},
             {"revision", toString(viewRevision)}});
 }
 
@@ -211,29 +211,29 @@
 }
 
 void logAdmission(const core::AdmissionState& state) {
-  const core::OpeningFigures& inputs = state.Inputs;
+  const core::OpeningStatistics& inputs = state.Inputs;
   logEvent(LogLevel::kWarning, state.IsLimited ? "openings_limited" : "openings_unlimited",
            {{"service", state.Service},
-            {"let_in_share", fraction(state.Share)},
-            {"let_in_per_s", fraction(state.PerSecond)},
-            {"wanted", fraction(inputs.CountWanted())},
+            {"let_in_share", fraction(state.AdmittedShare)},
+            {"let_in_per_s", fraction(state.AdmittedRate)},
+            {"wanted", fraction(inputs.CountOffered())},
             {"served", std::to_string(inputs.Served)},
             {"rejected", std::to_string(inputs.Rejected)},
             {"within_ms", fraction(inputs.Seconds * kMillisecondsPerSecond)},
-            {"rejected_by_serving", std::to_string(state.Spread.OfServing)},
-            {"expected_of_these", fraction(state.Spread.Expected)},
-            {"room", ToString(state.Room)},
-            {"probe", fraction(state.Probe)}});
+            {"rejected_by_serving", std::to_string(state.Distribution.ByServing)},
+            {"expected_of_these", fraction(state.Distribution.ExpectedByServing)},
+            {"room", ToString(state.Capacity)},
+            {"probe", fraction(state.GrowthFactor)}});
 }
 
-void logSpill(const core::SpillChange& change, const core::BackendRegistry& backends,
+void logSpill(const core::SpilloverChange& change, const core::BackendRegistry& backends,
               core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, change.Began ? "spill_began" : "spill_ended",
            {{"service", backends.nameOf(change.Service)},
             {"zone", backends.nameOf(change.Zone)},
-            {"kept", std::to_string(change.Kept)},
+            {"kept", std::to_string(change.LocalShare)},
             {"demand", std::to_string(change.Demand)},
-            {"least_demand", std::to_string(change.Least)},
+            {"least_demand", std::to_string(change.LowestDemand)},
             {"age_ms", std::to_string(change.Age / std::chrono::milliseconds(1))},
             {"revision", toString(viewRevision)}});
 }
@@ -241,11 +241,11 @@
 void logOutlier(core::BackendId backend, core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, "outlier_found",
            {{"backend", hex(backend)},
-            {"reporters_at_least", std::to_string(core::kOutlierReporters)},
+            {"reporters_at_least", std::to_string(core::kMinOutlierReporters)},
             {"revision", toString(viewRevision)}});
 }
 
-void logLoadCrossing(const core::LoadCrossing& crossing, const core::BackendRegistry& backends,
+void logLoadCrossing(const core::ZoneBusyChange& crossing, const core::BackendRegistry& backends,
                      std::uint32_t daemons) {
   logEvent(LogLevel::kInfo, crossing.IsBusy ? "zone_busy" : "zone_calm",
            {{"service", backends.nameOf(crossing.Key.first)},
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -28,7 +28,7 @@
 
 std::vector<MetricSample> keptShares(const core::TokenSteering& steering) {
   std::vector<MetricSample> samples;
-  for (const auto& [zone, kept] : steering.spill().GetKeptByZone()) {
+  for (const auto& [zone, kept] : steering.spill().GetLocalShareByZone()) {
     samples.push_back({steering.backends().nameOf(zone), kept});
   }
   return samples;
@@ -36,8 +36,8 @@
 
 double seconds(core::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-std::vector<MetricSample> byRank(const core::RankAdmission& admission,
-                                 std::uint64_t core::RankCounters::*count) {
+std::vector<MetricSample> byRank(const core::PriorityAdmission& admission,
+                                 std::uint64_t core::PriorityCounters::*count) {
   std::vector<MetricSample> samples;
   for (const auto& [service, ranks] : admission.GetCounters()) {
     for (const auto& [rank, counters] : ranks) {
@@ -139,16 +139,17 @@
       {"cobaltgauge_views_taken_total", "Views taken from peers", nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetExchange().counters().viewsTaken); }},
       {"cobaltgauge_view_whole", "1 where the view holds every back end, 0 while it is a sample",
-       nullptr, MetricType::Gauge, [](const Sources& s) { return single(s.reader.isWhole()); }},
+       nullptr, MetricType::Gauge,
+       [](const Sources& s) { return single(s.reader.hasAllBackends()); }},
       {"cobaltgauge_view_pages_given_total", "Pages of missing back ends given to peers", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().PagesGiven); }},
+       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().PagesSent); }},
       {"cobaltgauge_view_pages_refused_total", "Requests of peers for a page that got none",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().Refused); }},
+       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().RequestsRefused); }},
       {"cobaltgauge_view_pages_taken_total", "Pages of missing back ends taken from peers", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().PagesTaken); }},
+       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().PagesApplied); }},
       {"cobaltgauge_reads_store", "1 while this daemon reads the store, 0 while it follows a peer",
        nullptr, MetricType::Gauge,
        [](const Sources& s) { return single(s.peers.GetRelay().IsReading() ? 1 : 0); }},
@@ -159,14 +160,14 @@
        [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().UpdatesSent); }},
       {"cobaltgauge_view_updates_taken_total", "Updates of peers that changed the view", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().UpdatesTaken); }},
+       [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().UpdatesApplied); }},
       {"cobaltgauge_view_gaps_total", "Updates of peers that the view lacked the base for", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().Gaps); }},
       {"cobaltgauge_store_takeovers_total",
        "Times this daemon began to read the store since no peer's view was fresh", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().ReadingBegan); }},
+       [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().ReadsStarted); }},
       {"cobaltgauge_late_answers_total", "Answers overdue, and back ends found dead", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetOutliers().GetCounters().LateAnswers); }},
@@ -180,18 +181,18 @@
        [](const Sources& s) { return single(s.peers.GetOutliers().GetCounters().Found); }},
       {"cobaltgauge_openings_wanted_total", "Openings that were to be placed, by service and rank",
        "service_rank", MetricType::Counter,
-       [](const Sources& s) { return byRank(s.admission, &core::RankCounters::Wanted); }},
+       [](const Sources& s) { return byRank(s.admission, &core::PriorityCounters::Offered); }},
       {"cobaltgauge_openings_no_room_total",
        "Of those, refused since back ends are full, by service and rank", "service_rank",
        MetricType::Counter,
-       [](const Sources& s) { return byRank(s.admission, &core::RankCounters::Refused); }},
+       [](const Sources& s) { return byRank(s.admission, &core::PriorityCounters::Refused); }},
       {"cobaltgauge_openings_limit_per_second",
        "Openings that are let in while back ends are full; 0: no limit", "service",
        MetricType::Gauge,
        [](const Sources& s) {
          std::vector<MetricSample> samples;
          for (const core::AdmissionState& state : s.admission.GetStates()) {
-           samples.push_back({state.Service, state.PerSecond});
+           samples.push_back({state.Service, state.AdmittedRate});
          }
          return samples;
        }},
@@ -208,7 +209,7 @@
        }},
       {"cobaltgauge_opening_ends_unseen_total", "Openings placed here whose end was not seen",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.outcomes().GetCounters().Forgotten); }},
+       [](const Sources& s) { return single(s.steering.outcomes().GetCounters().Discarded); }},
       {"cobaltgauge_load_in_flight", "Requests in flight in the fleet, by service/zone", "zone",
        MetricType::Gauge,
        [](const Sources& s) {
@@ -227,7 +228,7 @@
        "zone", MetricType::Gauge,
        [](const Sources& s) {
          return byZone(s, [&s](const core::LoadKey& key, std::uint32_t) -> std::optional<double> {
-           const auto room = s.peers.GetLoad().GetRoom(key.first, key.second, s.now);
+           const auto room = s.peers.GetLoad().GetZoneCapacity(key.first, key.second, s.now);
            return room ? std::optional(room->Utilization) : std::nullopt;
          });
        }},
@@ -247,9 +248,9 @@
          const core::FleetLoadCounters& counters = s.peers.GetLoad().GetCounters();
          return std::vector<MetricSample>{
              {"report_sent", static_cast<double>(counters.ReportsSent)},
-             {"report_taken", static_cast<double>(counters.ReportsTaken)},
+             {"report_taken", static_cast<double>(counters.ReportsAccepted)},
              {"report_ignored", static_cast<double>(counters.ReportsIgnored)},
-             {"summary_taken", static_cast<double>(counters.SummariesTaken)}};
+             {"summary_taken", static_cast<double>(counters.SummariesAccepted)}};
        }},
       {"cobaltgauge_zones_evacuated", "Zones whose back ends get no new flow", nullptr,
        MetricType::Gauge,
@@ -284,18 +285,18 @@
        MetricType::Counter,
        [](const Sources& s) {
          const core::ServingCounters& counters = s.steering.serving().GetCounters();
-         return std::vector<MetricSample>{{"out", static_cast<double>(counters.Left)},
-                                          {"in", static_cast<double>(counters.Returned)}};
+         return std::vector<MetricSample>{{"out", static_cast<double>(counters.StoppedServing)},
+                                          {"in", static_cast<double>(counters.ResumedServing)}};
        }},
       {"cobaltgauge_groups_silent", "Groups whose back ends come last together", nullptr,
        MetricType::Gauge,
-       [](const Sources& s) { return single(s.steering.silentGroups().CountSilent(s.now)); }},
+       [](const Sources& s) { return single(s.steering.silentGroups().CountUnreachable(s.now)); }},
       {"cobaltgauge_groups_found_silent_total", "Groups found silent by this daemon", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Found); }},
+       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Detected); }},
       {"cobaltgauge_groups_ended_total", "Silent groups that an answer or a connection ended",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Ended); }},
+       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Recovered); }},
       {"cobaltgauge_group_probes_total", "Connections opened to neighbours of silent back ends",
        nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Probes); }},
@@ -318,11 +319,11 @@
 LatencyHistograms::LatencyHistograms()
     : openings_(kLatencyBounds), answers_(kLatencyBounds), storeReads_(kLatencyBounds) {}
 
-void LatencyHistograms::onOpeningAnswered(core::Duration latency) {
+void LatencyHistograms::onOpeningResponse(core::Duration latency) {
   openings_.Observe(seconds(latency));
 }
 
-void LatencyHistograms::onDataAnswered(core::Duration latency) {
+void LatencyHistograms::onDataAcknowledged(core::Duration latency) {
   answers_.Observe(seconds(latency));
 }
 
--- a/src/daemon/token_metrics.h
+++ b/src/daemon/token_metrics.h
@@ -21,8 +21,8 @@
  public:
   LatencyHistograms();
 
-  void onOpeningAnswered(core::Duration latency) override;
-  void onDataAnswered(core::Duration latency) override;
+  void onOpeningResponse(core::Duration latency) override;
+  void onDataAcknowledged(core::Duration latency) override;
   void onStoreAnswer(core::Duration latency);
 
   /// @return one family for each histogram.
@@ -41,7 +41,7 @@
   const PeerLink& peers;
   const PacketPort& packets;
   const LatencyHistograms& latencies;
-  const core::RankAdmission& admission;
+  const core::PriorityAdmission& admission;
   bool ready = false;
   core::Time now{};
 };
--- a/src/net/peer_fields.h
+++ b/src/net/peer_fields.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/domains/backend_group.h"
-#include "core/load/load_figures.h"
+#include "core/load/load_statistics.h"
 #include "core/messages.h"
 #include "core/view_messages.h"
 #include "net/packed_backends.h"
@@ -30,8 +30,8 @@
                  core::ConfigurationRequest, core::ConfigurationTransfer, core::RecordsMessage,
                  core::RecordsAck, core::RouteHint, core::ListingRequest, ForwardedPacket,
                  core::ViewRequest, core::ViewTransfer, core::ViewSubscription, core::ViewUpdate,
-                 core::OutlierReport, core::LoadReport, core::LoadSummary, core::GroupNotice,
-                 core::ViewPageRequest, core::ViewPage>;
+                 core::OutlierReport, core::LoadReport, core::LoadSummary,
+                 core::UnreachableGroupsNotice, core::ViewPageRequest, core::ViewPage>;
 
 // One overload per message: fieldsOf(m) ties the fields of `m`, const or not.
 
@@ -82,7 +82,7 @@
 }
 auto fieldsOf(IsMessage<core::ListingRequest> auto& m) { return std::tie(m.shards); }
 auto fieldsOf(IsMessage<core::ViewRequest> auto& m) {
-  return std::tie(m.replyTo, m.have, m.wanted);
+  return std::tie(m.replyTo, m.have, m.viewRequested);
 }
 auto fieldsOf(IsMessage<PackedBackend> auto& m) {
   return std::tie(m.keyEnd, m.id, m.erasAboveLowest, m.aboveLowest, m.address, m.port, m.service,
@@ -97,7 +97,7 @@
                   m.priority, m.allowedRegions);
 }
 auto fieldsOf(IsMessage<core::ViewService> auto& m) {
-  return std::tie(m.name, m.warmUpMs, m.coldOpenings);
+  return std::tie(m.name, m.warmUpMs, m.warmUpRateLimit);
 }
 auto fieldsOf(IsMessage<core::ViewTransfer> auto& m) {
   return std::tie(m.revision, m.ageMs, m.version, m.idleTimeoutMs, m.routes, m.backends, m.peers,
@@ -107,7 +107,7 @@
   return std::tie(m.replyTo, m.afterKey, m.atLeast);
 }
 auto fieldsOf(IsMessage<core::ViewPage> auto& m) {
-  return std::tie(m.sender, m.afterKey, m.revision, m.isLast, m.backends, m.whole);
+  return std::tie(m.sender, m.afterKey, m.revision, m.isLast, m.backends, m.fullViewPeers);
 }
 auto fieldsOf(IsMessage<core::ViewRemoval> auto& m) { return std::tie(m.key, m.revision); }
 auto fieldsOf(IsMessage<core::ViewEvacuation> auto& m) {
@@ -136,10 +136,11 @@
   return std::tie(m.replyTo, m.sentAtUs, m.nextMs, m.ageMs, m.level, m.daemons, m.loads);
 }
 auto fieldsOf(IsMessage<core::LoadSummary> auto& m) {
-  return std::tie(m.sender, m.sentAtUs, m.asks, m.nextMs, m.ageMs, m.level, m.daemons, m.loads);
+  return std::tie(m.sender, m.sentAtUs, m.isReportRequest, m.nextMs, m.ageMs, m.level, m.daemons,
+                  m.loads);
 }
 auto fieldsOf(IsMessage<core::BackendGroup> auto& m) { return std::tie(m.Service, m.Zone); }
-auto fieldsOf(IsMessage<core::GroupNotice> auto& m) { return std::tie(m.Groups); }
+auto fieldsOf(IsMessage<core::UnreachableGroupsNotice> auto& m) { return std::tie(m.Groups); }
 auto fieldsOf(IsMessage<ForwardedPacket> auto& m) {
   return std::tie(m.ingress, m.hops, m.wantsListing, m.protocolType, m.packet);
 }
--- a/tests/core/relay/change_log_test.cc
+++ b/tests/core/relay/change_log_test.cc
@@ -27,13 +27,13 @@
 
 BOOST_AUTO_TEST_SUITE(ChangeLogTest)
 
-BOOST_AUTO_TEST_CASE(knows_nothing_before_the_first_view)
+BOOST_AUTO_TEST_CASE(returns_nothing_before_the_first_listing)
 {
   const core::ChangeLog log;
   BOOST_TEST(!log.Since(0).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(the_first_view_is_the_base)
+BOOST_AUTO_TEST_CASE(first_listing_is_the_base)
 {
   core::ChangeLog log;
   log.Append(Removal(9));
@@ -43,7 +43,7 @@
   BOOST_TEST(log.Since(10)->Changes.empty());
 }
 
-BOOST_AUTO_TEST_CASE(gives_what_is_newer)
+BOOST_AUTO_TEST_CASE(returns_newer_changes)
 {
   const core::ChangeLog log = MakeLog(13);
   BOOST_REQUIRE(log.Since(11).has_value());
@@ -52,8 +52,8 @@
   BOOST_TEST(log.Since(99)->Changes.empty());
 }
 
-// A listing's pages arrive one after the other; only its end is a revision.
-BOOST_AUTO_TEST_CASE(a_batch_that_is_not_closed_is_not_given)
+// Only the end of a listing is a consistent revision, not each of its pages.
+BOOST_AUTO_TEST_CASE(open_batch_is_not_returned)
 {
   core::ChangeLog log = MakeLog(11);
   log.Append(Removal(14));
@@ -64,12 +64,13 @@
   BOOST_TEST(log.Since(14)->Changes.size() == 1U);
 }
 
-// Ten thousand routes to thirty followers would fill a small machine's link.
-BOOST_AUTO_TEST_CASE(a_heavy_change_is_left_out)
+// Sending a very large route change to all followers would saturate a slow
+// link.
+BOOST_AUTO_TEST_CASE(oversized_change_is_omitted)
 {
   core::ChangeLog log = MakeLog(12);
   core::RouteDelta delta;
-  delta.dropped.resize(core::kHeaviestBatch);
+  delta.dropped.resize(core::kMaxBatchItems);
   log.Append({ "op/config", 13, delta });
   log.Close(13);
   BOOST_TEST(!log.Since(12).has_value());
@@ -79,14 +80,13 @@
   BOOST_TEST(log.Since(13)->Changes.size() == 1U);
 }
 
-// 295 daemons read the store for each batch of back ends that came back after
-// an outage, 1,528 times on a day (cflc-quotes-large trouble-3).
-BOOST_AUTO_TEST_CASE(a_heavy_batch_is_given_in_parts)
+// Guards against all followers reading the store after a large batch.
+BOOST_AUTO_TEST_CASE(large_batch_is_returned_in_parts)
 {
-  constexpr core::Revision kLast = 10 + 3 * core::kHeaviestBatch;
+  constexpr core::Revision kLast = 10 + 3 * core::kMaxBatchItems;
   core::ChangeLog log;
   log.Close(10);
-  // The store answers by key, not by revision.
+  // The store responds in the order of keys, not of revisions.
   for (core::Revision revision = kLast; revision > 10;
        revision = revision - 1) {
     log.Append(Removal(revision));
@@ -96,66 +96,65 @@
   std::size_t parts = 0;
   std::size_t changes = 0;
   for (; have < kLast + 5; ++parts) {
-    const auto excerpt = log.Since(have);
-    BOOST_REQUIRE(excerpt.has_value());
-    BOOST_REQUIRE(excerpt->Reached > have);
-    BOOST_TEST(excerpt->Changes.size() <= core::kHeaviestBatch);
-    for (const core::StoreChange& change : excerpt->Changes) {
+    const auto range = log.Since(have);
+    BOOST_REQUIRE(range.has_value());
+    BOOST_REQUIRE(range->EndRevision > have);
+    BOOST_TEST(range->Changes.size() <= core::kMaxBatchItems);
+    for (const core::StoreChange& change : range->Changes) {
       BOOST_TEST(change.revision > have);
-      BOOST_TEST(change.revision <= excerpt->Reached);
+      BOOST_TEST(change.revision <= range->EndRevision);
     }
-    changes += excerpt->Changes.size();
-    have = excerpt->Reached;
+    changes += range->Changes.size();
+    have = range->EndRevision;
   }
   BOOST_TEST(have == kLast + 5);
   BOOST_TEST(parts == 3U);
-  BOOST_TEST(changes == 3 * core::kHeaviestBatch);
+  BOOST_TEST(changes == 3 * core::kMaxBatchItems);
 }
 
-BOOST_AUTO_TEST_CASE(changes_of_one_revision_stay_together)
+BOOST_AUTO_TEST_CASE(changes_of_one_revision_are_not_split)
 {
   core::ChangeLog log;
   log.Close(10);
-  for (std::size_t i = 0; i <= core::kHeaviestBatch; ++i) {
+  for (std::size_t i = 0; i <= core::kMaxBatchItems; ++i) {
     log.Append({ "servers/" + std::to_string(i), 12, core::RemovedItem{} });
   }
   log.Append(Removal(13));
   log.Close(13);
-  const auto excerpt = log.Since(10);
-  BOOST_REQUIRE(excerpt.has_value());
-  BOOST_TEST(excerpt->Changes.size() == core::kHeaviestBatch + 1);
-  BOOST_TEST(excerpt->Reached == 12U);
+  const auto range = log.Since(10);
+  BOOST_REQUIRE(range.has_value());
+  BOOST_TEST(range->Changes.size() == core::kMaxBatchItems + 1);
+  BOOST_TEST(range->EndRevision == 12U);
 }
 
-// A listing does not say when an item vanished: a part of it, taken for
-// complete up to some revision, would hide that for good.
-BOOST_AUTO_TEST_CASE(a_heavy_listing_is_left_out)
+// A listing does not give the revisions of removals.  Splitting it could hide
+// a removal from followers permanently.
+BOOST_AUTO_TEST_CASE(large_listing_is_omitted)
 {
   core::ChangeLog log = MakeLog(12);
-  for (std::size_t i = 0; i <= core::kHeaviestBatch; ++i) {
+  for (std::size_t i = 0; i <= core::kMaxBatchItems; ++i) {
     log.Append(Removal(13 + i));
   }
   log.MarkIndivisible();
-  const core::Revision listed = 13 + core::kHeaviestBatch;
+  const core::Revision listed = 13 + core::kMaxBatchItems;
   log.Close(listed);
   BOOST_TEST(!log.Since(12).has_value());
   BOOST_TEST(log.GetBase() == listed);
 }
 
-BOOST_AUTO_TEST_CASE(is_bounded)
+BOOST_AUTO_TEST_CASE(log_size_is_bounded)
 {
-  const core::ChangeLog log = MakeLog(10 + 2 * core::kHeaviestLog);
+  const core::ChangeLog log = MakeLog(10 + 2 * core::kMaxLogItems);
   BOOST_TEST(log.GetBase() >=
-             10 + 2 * core::kHeaviestLog - core::kMostBatches);
+             10 + 2 * core::kMaxLogItems - core::kMaxLogBatches);
   BOOST_TEST(!log.Since(log.GetBase() - 1).has_value());
-  BOOST_TEST(log.Since(log.GetBase())->Changes.size() <= core::kMostBatches);
+  BOOST_TEST(log.Since(log.GetBase())->Changes.size() <= core::kMaxLogBatches);
 }
 
-// Seen: a back end that had announced its end got flows from followers 3.0 s
-// later.  The daemon that read the store had just started: a later page of its
-// first listing showed the end, newer than the first page, from which the log
-// began.  The watch from there showed it again, and nothing had changed.
-BOOST_AUTO_TEST_CASE(a_first_listing_that_shows_more_than_its_place_is_no_base)
+// A page of the first listing may show a change newer than the listing's
+// revision, which the following watch delivers again without effect.
+// Followers must not miss it.
+BOOST_AUTO_TEST_CASE(first_listing_with_newer_items_moves_the_base)
 {
   core::ChangeLog log;
   log.Append(Removal(40));
@@ -168,8 +167,7 @@
   BOOST_TEST(log.Since(60)->Changes.empty());
 }
 
-BOOST_AUTO_TEST_CASE(
-  what_a_later_listing_shows_beyond_its_place_is_told_from_there)
+BOOST_AUTO_TEST_CASE(newer_items_of_a_later_listing_are_returned_again)
 {
   core::ChangeLog log;
   log.Close(50);
@@ -185,11 +183,11 @@
   BOOST_TEST(log.Since(50)->Changes.size() >= 2U);
 }
 
-BOOST_AUTO_TEST_CASE(a_batch_that_is_left_out_is_no_base_for_what_it_showed)
+BOOST_AUTO_TEST_CASE(omitted_batch_with_newer_items_moves_the_base)
 {
   core::ChangeLog log;
   log.Close(50);
-  for (std::size_t i = 0; i <= core::kHeaviestLog; ++i) {
+  for (std::size_t i = 0; i <= core::kMaxLogItems; ++i) {
     log.Append(Removal(51 + i));
   }
   log.Close(58);
--- a/tests/core/relay/relay_fixture.h
+++ b/tests/core/relay/relay_fixture.h
@@ -1,6 +1,6 @@
 /// @file
-/// A fleet of daemons that follow each other, with a store to read, in virtual
-/// time and with clocks of their own.
+/// Simulates a fleet of daemons and a store in virtual time.  Each daemon has
+/// its own clock.
 #pragma once
 
 #include <algorithm>
@@ -11,7 +11,7 @@
 
 #include "core/constants.h"
 #include "core/load/fleet_load.h"
-#include "core/relay/view_fill.h"
+#include "core/relay/view_backfill.h"
 #include "core/relay/view_relay.h"
 #include "core/view_updater.h"
 #include "support/token_fixtures.h"
@@ -20,7 +20,7 @@
 
 inline constexpr core::Duration kStep = 100ms;
 
-/// A view with the log of its changes.
+/// A view with its change log.
 struct LoggedView
 {
   core::EqualWeights Weights;
@@ -33,7 +33,7 @@
                              &this->Log };
 };
 
-/// One daemon's view and relay, with a clock of its own.
+/// A daemon with its view, relay and clock.
 struct Node : LoggedView
 {
   core::Endpoint Address;
@@ -48,19 +48,19 @@
   core::FleetLoad Load{ this->Address, this->Meter, [this](core::Time now) {
                          return this->Backends.countSlots(now);
                        } };
-  core::ViewFill Fill{ this->Address,
-                       this->Reader,
-                       this->Updater,
-                       this->Backends,
-                       this->Random };
+  core::ViewBackfill Fill{ this->Address,
+                           this->Reader,
+                           this->Updater,
+                           this->Backends,
+                           this->Random };
   std::optional<core::StoreRead> Pending;
-  core::Time AskedAt{};
+  core::Time RequestedAt{};
   std::uint64_t Calls = 0;
-  std::uint64_t ItemsRead = 0; ///< Of the store.
-  bool Alive = true;           ///< Neither killed nor frozen.
-  bool StoreSilent = false;    ///< The store's answers do not reach it.
+  std::uint64_t ItemsRead = 0;    ///< From the store.
+  bool Alive = true;              ///< Neither killed nor frozen.
+  bool StoreUnresponsive = false; ///< It receives no responses of the store.
   bool StoreRefuses = false;
-  bool PeersCut = false; ///< No message of a peer reaches it, nor its own any.
+  bool IsPartitioned = false; ///< It exchanges no messages with peers.
 
   Node(std::uint8_t host, core::Duration clockOffset)
     : Address(endpoint(9, host, 7720))
@@ -88,33 +88,33 @@
     Content;
 };
 
-/// A fleet whose first three daemons are everyone's seeds.
+/// A fleet whose first three daemons are the seeds.
 struct RelayFixture
 {
   static constexpr std::size_t kSeeds = 3;
 
   FakeStore Store;
   std::vector<std::unique_ptr<Node>> Nodes;
-  std::vector<Message> Waiting; ///< For a daemon that is frozen.
+  std::vector<Message> QueuedMessages; ///< Messages for frozen daemons.
   core::Time Now = 100s;
-  /// What a read gives where the store refuses.
+  /// Result of a read that the store refuses.
   core::ReadOutcome Refusal = core::ReadOutcome::kThrottled;
-  std::uint64_t Lost = 0; ///< Every so many messages one is lost; 0: none.
+  std::uint64_t DropInterval = 0; ///< Drops every Nth message; 0: none.
   std::uint64_t Sent = 0;
 
   RelayFixture()
   {
     this->Store.put("op/config", makeRoutes(7, { { 1, "web" } }));
     this->Store.put("servers/1", makeRegistration(1, "web", 1, 1));
-    this->Grow(12);
+    this->GrowTo(12);
   }
 
-  void Grow(std::size_t count)
+  void GrowTo(std::size_t count)
   {
     std::vector<core::Endpoint> seeds;
     while (this->Nodes.size() < count) {
       const auto host = static_cast<std::uint8_t>(this->Nodes.size() + 1);
-      // Clocks of machines have nothing to do with each other.
+      // Clocks of different machines are unrelated.
       this->Nodes.push_back(std::make_unique<Node>(host, host * 1000s));
     }
     for (std::size_t i = 0; i < kSeeds; ++i) {
@@ -127,30 +127,31 @@
 
   Node& At(std::size_t index) { return *this->Nodes[index]; }
 
-  /// The store answers a read at once where it has news, else after its wait.
-  /// \return whether it answered, so that the daemon may read again.
+  /// Respond to a read immediately if there are changes, else after its wait
+  /// time.
+  /// \return whether the store responded, so that the daemon may read again.
   bool ServeStore(Node& node)
   {
     const core::Time clock = node.Clock(this->Now);
     if (!node.Pending) {
       node.Pending = node.Reader.nextRead(clock);
-      node.AskedAt = clock;
+      node.RequestedAt = clock;
       node.Calls += node.Pending ? 1 : 0;
     }
     if (!node.Pending) {
       return false;
     }
-    const core::Duration waited = clock - node.AskedAt;
+    const core::Duration waited = clock - node.RequestedAt;
     std::optional<core::StoreReply> reply;
     if (node.StoreRefuses) {
       reply = failedRead(this->Refusal);
-    } else if (node.StoreSilent) {
+    } else if (node.StoreUnresponsive) {
       if (waited >= node.Pending->timeout) {
         reply = failedRead(core::ReadOutcome::kTimedOut);
       }
     } else {
       reply = this->Store.answer(*node.Pending);
-      // That the history is gone is answered at once.
+      // A watch from a discarded revision fails immediately.
       const bool mayWait =
         node.Pending->kind == core::StoreRead::Kind::kWatch &&
         reply->outcome == core::ReadOutcome::kAnswered;
@@ -162,17 +163,18 @@
       node.Pending.reset();
       node.ItemsRead += reply->changes.size();
       node.Reader.onReply(*reply, clock);
-      node.Relay.OnStoreAnswer(clock);
+      node.Relay.OnStoreReply(clock);
     }
     return reply.has_value();
   }
 
   void Collect(Node& node, std::vector<Message>& messages)
   {
-    for (core::OutgoingRelay& outgoing : node.Relay.TakeMessages()) {
+    for (core::OutgoingRelayMessage& outgoing : node.Relay.TakeMessages()) {
       for (const core::Endpoint& destination : outgoing.Destinations) {
-        const bool lost = this->Lost != 0 && ++this->Sent % this->Lost == 0;
-        if (!node.PeersCut && !lost) {
+        const bool isDropped =
+          this->DropInterval != 0 && ++this->Sent % this->DropInterval == 0;
+        if (!node.IsPartitioned && !isDropped) {
           std::visit(
             [&messages, &destination](const auto& content) {
               messages.push_back({ destination, content });
@@ -181,8 +183,8 @@
         }
       }
     }
-    for (core::OutgoingFill& outgoing : node.Fill.TakeMessages()) {
-      if (!node.PeersCut) {
+    for (core::OutgoingBackfillMessage& outgoing : node.Fill.TakeMessages()) {
+      if (!node.IsPartitioned) {
         std::visit(
           [&messages, &outgoing](const auto& content) {
             messages.push_back({ outgoing.Destination, content });
@@ -195,11 +197,11 @@
   void Deliver(const Message& message)
   {
     for (auto& node : this->Nodes) {
-      if (node->Address != message.Destination || node->PeersCut) {
+      if (node->Address != message.Destination || node->IsPartitioned) {
         continue;
       }
       if (!node->Alive) {
-        this->Waiting.push_back(message);
+        this->QueuedMessages.push_back(message);
         continue;
       }
       const core::Time clock = node->Clock(this->Now);
@@ -208,16 +210,16 @@
         node->Relay.OnSubscription(*subscription, clock);
       } else if (const auto* report =
                    std::get_if<core::OutlierReport>(&message.Content)) {
-        node->Relay.OnReport(*report, clock);
+        node->Relay.OnOutlierReport(*report, clock);
       } else if (const auto* load =
                    std::get_if<core::LoadReport>(&message.Content)) {
         node->Relay.OnLoadReport(*load, clock);
-      } else if (const auto* sum =
+      } else if (const auto* summary =
                    std::get_if<core::LoadSummary>(&message.Content)) {
-        node->Relay.OnLoadSummary(*sum, clock);
-      } else if (const auto* asked =
+        node->Relay.OnLoadSummary(*summary, clock);
+      } else if (const auto* request =
                    std::get_if<core::ViewPageRequest>(&message.Content)) {
-        node->Fill.OnRequest(*asked, clock);
+        node->Fill.OnRequest(*request, clock);
       } else if (const auto* page =
                    std::get_if<core::ViewPage>(&message.Content)) {
         node->Fill.OnPage(*page, clock);
@@ -228,7 +230,7 @@
     }
   }
 
-  void Exchange()
+  void DeliverMessages()
   {
     for (int hop = 0; hop < 6; ++hop) {
       std::vector<Message> messages;
@@ -253,25 +255,25 @@
     for (auto& node : this->Nodes) {
       if (node->Alive) {
         node->Relay.OnTick(peers, node->Clock(this->Now));
-        this->FillView(*node, peers);
-        // A daemon goes on reading before it hears its peers.
+        this->BackfillView(*node, peers);
+        // A daemon may read several times before it processes peer messages.
         for (int reads = 0; reads < 3 && this->ServeStore(*node); ++reads) {
         }
       }
     }
-    this->Exchange();
+    this->DeliverMessages();
   }
 
-  void FillView(Node& node, const std::vector<core::Endpoint>& known)
+  void BackfillView(Node& node, const std::vector<core::Endpoint>& known)
   {
-    core::FillPeers peers;
+    core::BackfillPeers peers;
     peers.Known = known;
     if (node.Relay.GetUpstream()) {
       peers.Near.push_back(*node.Relay.GetUpstream());
     }
     peers.Seeds = node.Relay.GetSeeds();
     peers.IsSeed = node.Relay.IsSeed();
-    peers.Fleet = static_cast<std::uint32_t>(this->Nodes.size());
+    peers.FleetSize = static_cast<std::uint32_t>(this->Nodes.size());
     node.Fill.OnTick(peers, node.Clock(this->Now));
   }
 
@@ -300,7 +302,6 @@
     return calls;
   }
 
-  /// \return the daemons that read the store now.
   std::vector<Node*> Readers()
   {
     std::vector<Node*> readers;
@@ -312,12 +313,12 @@
     return readers;
   }
 
-  /// \return how long it takes until all that live have this version.
-  core::Duration TimeUntilInForce(core::ConfigurationVersion version)
+  /// \return how long it takes until all reachable daemons have this version.
+  core::Duration TimeUntilApplied(core::ConfigurationVersion version)
   {
     const core::Time began = this->Now;
     const auto lacks = [version](const std::unique_ptr<Node>& node) {
-      return node->Alive && !node->StoreRefuses && !node->StoreSilent &&
+      return node->Alive && !node->StoreRefuses && !node->StoreUnresponsive &&
         node->Routes.version() < version;
     };
     while (std::any_of(this->Nodes.begin(), this->Nodes.end(), lacks)) {
@@ -327,24 +328,24 @@
     return this->Now - began;
   }
 
-  void RefuseAll(bool refuses)
+  void SetStoreRefusesAll(bool refuses)
   {
     for (auto& node : this->Nodes) {
       node->StoreRefuses = refuses;
     }
   }
 
-  /// A change too large to be passed on: everyone reads it from the store.
+  /// A change too large to be propagated in one batch.
   void AddManyRoutes(core::ConfigurationVersion version)
   {
     std::vector<std::pair<std::uint8_t, std::string>> routes;
-    for (std::size_t i = 0; i <= core::kHeaviestBatch; ++i) {
+    for (std::size_t i = 0; i <= core::kMaxBatchItems; ++i) {
       routes.emplace_back(static_cast<std::uint8_t>(i + 1), "web");
     }
     this->Store.put("op/config", makeRoutes(version, routes));
   }
 
-  /// Back ends that register together, in one batch.
+  /// Add backends in one batch.
   void AddBackends(std::size_t count)
   {
     for (std::uint64_t id = 10; id < 10 + count; ++id) {
--- a/tests/core/zones/evacuated_openings_test.cc
+++ b/tests/core/zones/evacuated_openings_test.cc
@@ -1,4 +1,4 @@
-/// Every way that an opening takes, while operators have taken zones out.
+/// Placement of connection attempts while zones are evacuated.
 #include "core/constants.h"
 #include "core/token_steering.h"
 #include "core/view_conversion.h"
@@ -13,7 +13,7 @@
 using core::RefuseReason;
 using core::RouteReason;
 
-/// Back ends 1 to 3 of "web" in zone "a", and 11 to 13 in zone "b".
+/// Backends 1 to 3 of "web" are in zone "a", 11 to 13 in zone "b".
 struct EvacuationFixture : TokenFixture
 {
   core::ViewUpdater Updater{ this->steering.backends(),
@@ -26,19 +26,20 @@
   EvacuationFixture()
   {
     for (std::uint8_t host = 11; host <= 13; ++host) {
-      this->putInZone("b", host);
+      this->putBackendInZone("b", host);
     }
   }
 
   void Evacuate(const std::string& zone)
   {
-    this->Take("evacuate/" + zone, core::ZoneEvacuation{ zone });
+    this->ApplyChange("evacuate/" + zone, core::ZoneEvacuation{ zone });
   }
-  void TakeBack(const std::string& zone)
+  void Restore(const std::string& zone)
   {
-    this->Take("evacuate/" + zone, core::RemovedItem{});
+    this->ApplyChange("evacuate/" + zone, core::RemovedItem{});
   }
-  void Take(const std::string& key, decltype(core::StoreChange::item) item)
+  void ApplyChange(const std::string& key,
+                   decltype(core::StoreChange::item) item)
   {
     this->Updater.onChange({ key, ++this->revision, std::move(item) },
                            this->now);
@@ -49,13 +50,13 @@
     return static_cast<std::uint64_t>(id) > 10;
   }
 
-  /// Count openings of 60 that go to zone "b".
+  /// Returns how many of 60 attempts go to zone "b".
   int CountInB(std::uint16_t firstPort)
   {
     int count = 0;
     for (std::uint16_t port = firstPort; port < firstPort + 60; ++port) {
       this->now += 100ms;
-      count += IsInB(this->openAndAnswer(port)) ? 1 : 0;
+      count += IsInB(this->establishFlow(port)) ? 1 : 0;
     }
     return count;
   }
@@ -63,12 +64,12 @@
 
 BOOST_FIXTURE_TEST_SUITE(EvacuatedOpeningsTest, EvacuationFixture)
 
-BOOST_AUTO_TEST_CASE(no_opening_goes_to_a_zone_until_it_is_taken_back)
+BOOST_AUTO_TEST_CASE(evacuated_zone_gets_no_opening_until_restored)
 {
   BOOST_TEST(this->CountInB(100) > 0);
   this->Evacuate("b");
   BOOST_TEST(this->CountInB(200) == 0);
-  this->TakeBack("b");
+  this->Restore("b");
   BOOST_TEST(this->CountInB(300) > 0);
   BOOST_TEST_REQUIRE(this->Reports.size() == 2U);
   BOOST_TEST(
@@ -78,10 +79,10 @@
   BOOST_TEST(this->Reports[1].zone == "b");
 }
 
-BOOST_AUTO_TEST_CASE(open_flows_stay)
+BOOST_AUTO_TEST_CASE(established_flows_stay)
 {
   std::uint16_t port = 100;
-  while (!IsInB(this->openAndAnswer(++port))) {
+  while (!IsInB(this->establishFlow(++port))) {
     this->now += 100ms;
   }
   const BackendId backend = this->steering.lastDecision().backend;
@@ -92,28 +93,28 @@
   BOOST_TEST(this->steering.takeResets().empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_repeated_opening_leaves_the_zone)
+BOOST_AUTO_TEST_CASE(retransmitted_opening_moves_out_of_the_zone)
 {
   std::uint16_t port = 100;
   while (!IsInB(backendOf(this->open(++port)))) {
     this->now += 100ms;
   }
   this->Evacuate("b");
-  // Not long enough for the first back end to be suspected.
+  // Too short for the first backend to be suspected.
   this->now += 100ms;
   const core::Verdict repeated = this->open(port, 1);
   BOOST_TEST(!IsInB(backendOf(repeated)));
-  BOOST_TEST((ruleOf(repeated) == RouteReason::kReplaced));
+  BOOST_TEST((routeReasonOf(repeated) == RouteReason::kReplaced));
 }
 
-BOOST_AUTO_TEST_CASE(a_back_end_that_registers_in_the_zone_gets_none)
+BOOST_AUTO_TEST_CASE(backend_registered_in_an_evacuated_zone_gets_no_opening)
 {
   this->Evacuate("b");
-  this->putInZone("b", 14);
+  this->putBackendInZone("b", 14);
   BOOST_TEST(this->CountInB(100) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(lapsed_registrations_of_the_zone_get_none)
+BOOST_AUTO_TEST_CASE(lapsed_registrations_in_an_evacuated_zone_get_no_opening)
 {
   this->Evacuate("b");
   for (const std::uint64_t id : { 1, 2, 3, 11, 12, 13 }) {
@@ -131,59 +132,59 @@
   BOOST_TEST(placed > 0);
 }
 
-BOOST_AUTO_TEST_CASE(another_part_of_a_split_takes_over)
+BOOST_AUTO_TEST_CASE(other_service_of_a_split_takes_over)
 {
   core::RouteSet set;
   set.version = 2;
   set.routes.push_back(
     { "r", endpoint(90, 1, 443), { { "web", 1 }, { "api", 1 } } });
   this->steering.routes().offer(set, this->now);
-  this->putInZone("b", 21, "api");
+  this->putBackendInZone("b", 21, "api");
   this->Evacuate("b");
   BOOST_TEST(this->CountInB(100) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(with_all_zones_out_an_opening_is_refused_at_once)
+BOOST_AUTO_TEST_CASE(opening_is_refused_if_all_zones_are_evacuated)
 {
   this->Evacuate("a");
   this->Evacuate("b");
-  BOOST_TEST((refusalOf(this->open(100)) == RefuseReason::kEvacuated));
+  BOOST_TEST((refuseReasonOf(this->open(100)) == RefuseReason::kEvacuated));
   const core::Verdict refusal = this->open(101);
   BOOST_TEST((std::get<core::Refuse>(refusal).certainty ==
               core::RefusalCertainty::kNotRun));
 }
 
-// Its first copy may have been answered through another daemon: a reset would
-// break the flow.
-BOOST_AUTO_TEST_CASE(a_repeated_opening_is_not_refused_at_once)
+// Another daemon may have forwarded the first transmission; a reset would
+// break that flow.
+BOOST_AUTO_TEST_CASE(retransmitted_opening_is_not_refused_immediately)
 {
   this->Evacuate("a");
   this->Evacuate("b");
-  BOOST_TEST((dropOf(this->open(100, 1)) == DropReason::kEmptyService));
-  this->now += core::kEmptyServicePatience;
-  BOOST_TEST((refusalOf(this->open(101, 1)) == RefuseReason::kNoBackend));
+  BOOST_TEST((dropReasonOf(this->open(100, 1)) == DropReason::kEmptyService));
+  this->now += core::kEmptyServiceGracePeriod;
+  BOOST_TEST((refuseReasonOf(this->open(101, 1)) == RefuseReason::kNoBackend));
 }
 
-BOOST_AUTO_TEST_CASE(a_view_that_may_be_old_refuses_nothing)
+BOOST_AUTO_TEST_CASE(stale_view_refuses_nothing)
 {
   this->Evacuate("a");
   this->Evacuate("b");
   this->steering.setViewState(true, false);
-  BOOST_TEST((dropOf(this->open(100)) == DropReason::kStaleView));
+  BOOST_TEST((dropReasonOf(this->open(100)) == DropReason::kStaleView));
 }
 
-// Changes of one batch may come in any order of their kinds.
-BOOST_AUTO_TEST_CASE(a_zone_that_is_out_again_at_once_stays_out)
+// An update groups its changes by kind, not by revision.
+BOOST_AUTO_TEST_CASE(changes_in_one_update_apply_by_revision)
 {
   core::ViewUpdate update;
   update.evacuations.push_back({ "evacuate/b", 100, "b" });
   update.removals.push_back({ "evacuate/b", 101 });
-  for (const core::StoreChange& change : core::changesOf(update)) {
+  for (const core::StoreChange& change : core::toStoreChanges(update)) {
     this->Updater.onChange(change, this->now);
   }
   BOOST_TEST(!this->steering.backends().evacuations().IsEvacuated("b"));
   update.evacuations.push_back({ "evacuate/b", 102, "b" });
-  for (const core::StoreChange& change : core::changesOf(update)) {
+  for (const core::StoreChange& change : core::toStoreChanges(update)) {
     this->Updater.onChange(change, this->now);
   }
   BOOST_TEST(this->steering.backends().evacuations().IsEvacuated("b"));
--- a/tests/net/peer_codec_test.cc
+++ b/tests/net/peer_codec_test.cc
@@ -63,7 +63,7 @@
                                       core::OutlierReport{},
                                       core::LoadReport{},
                                       core::LoadSummary{},
-                                      core::GroupNotice{},
+                                      core::UnreachableGroupsNotice{},
                                       core::ViewPageRequest{},
                                       core::ViewPage{},
                                       ForwardedPacket{}};
@@ -89,7 +89,7 @@
   core::LoadSummary summary;
   summary.sender.port = 7721;
   summary.sentAtUs = 5;
-  summary.asks = true;
+  summary.isReportRequest = true;
   summary.nextMs = 10;
   summary.ageMs = 6;
   summary.level = 9;
@@ -109,7 +109,7 @@
   const auto& told = std::get<core::LoadSummary>(down->frame);
   BOOST_TEST((told.sender == summary.sender));
   BOOST_TEST(told.sentAtUs == summary.sentAtUs);
-  BOOST_TEST(told.asks);
+  BOOST_TEST(told.isReportRequest);
   BOOST_TEST(told.nextMs == summary.nextMs);
   BOOST_TEST(told.ageMs == summary.ageMs);
   BOOST_TEST(told.level == summary.level);
@@ -118,10 +118,10 @@
 }
 
 BOOST_AUTO_TEST_CASE(NoticesOfGroupsSurviveTheWire) {
-  const core::GroupNotice notice{{{core::ServiceId{7}, core::ZoneId{UINT32_MAX}}, {}}};
+  const core::UnreachableGroupsNotice notice{{{core::ServiceId{7}, core::ZoneId{UINT32_MAX}}, {}}};
   const auto received = codec().decode(codec().encode(notice));
   BOOST_TEST_REQUIRE(received.has_value());
-  BOOST_TEST((std::get<core::GroupNotice>(received->frame).Groups == notice.Groups));
+  BOOST_TEST((std::get<core::UnreachableGroupsNotice>(received->frame).Groups == notice.Groups));
 }
 
 BOOST_AUTO_TEST_CASE(UpdatesOfTheViewSurviveTheWire) {
