--- a/src/core/backend_health.cc
+++ b/src/core/backend_health.cc
@@ -84,7 +84,7 @@
   const bool answeredMeanwhile =
       signs.unansweredSince == Time{} || !signs.probeCounts || signs.lastAnswer >= signs.probeBegan;
   if (result != ProbeResult::kTimedOut || answeredMeanwhile) {
-    counters_.unproven += result == ProbeResult::kUnproven ? 1U : 0U;
+    counters_.unproven += result == ProbeResult::kInconclusive ? 1U : 0U;
     return false;
   }
   signs.provenDeadAt = now;
--- a/src/core/backend_health.h
+++ b/src/core/backend_health.h
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/proof/death_trial.h"
+#include "core/probe/failure_probe.h"
 #include "core/types.h"
 
 namespace cobaltgauge::core {
--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -139,7 +139,7 @@
   keys->second.erase(key);
   if (keys->second.empty()) {
     endpoints_.erase(keys);
-    tokens_.ForgetAddress(endpoint);
+    tokens_.RemoveAddress(endpoint);
   }
 }
 
@@ -223,7 +223,7 @@
 }
 
 const BackendAddress* BackendRegistry::findByToken(SteeringToken token) const {
-  const std::optional<TokenIndex::Name> name = tokens_.Find(token);
+  const std::optional<TokenIndex::Target> name = tokens_.Find(token);
   if (!name) {
     return nullptr;
   }
@@ -306,7 +306,7 @@
 }
 
 void BackendRegistry::forget(const std::string& key, const Entry& entry) {
-  tokens_.ForgetBackend(entry.address.id);
+  tokens_.RemoveBackend(entry.address.id);
   keys_.erase(entry.address.id);
   unlink(key, entry);
 }
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -17,8 +17,8 @@
 
 #include "core/placement/candidate_list.h"
 #include "core/placement_weights.h"
-#include "core/reach/token_index.h"
 #include "core/registration.h"
+#include "core/tokens/token_index.h"
 #include "core/types.h"
 #include "core/zones/zone_evacuations.h"
 
@@ -53,7 +53,7 @@
   /// @param weights outlives the registry.
   /// @param reach writes addresses into tokens and is told their ports; outlives the registry.
   /// Null: tokens are hashes.
-  BackendRegistry(Duration keepDeparted, PlacementWeights& weights, TokenReach* reach = nullptr)
+  BackendRegistry(Duration keepDeparted, PlacementWeights& weights, TokenResolver* reach = nullptr)
       : keepDeparted_(keepDeparted), weights_(weights), tokens_(reach) {}
 
   /// Says which region each zone is in.
--- a/src/core/outlier/outlier_detector.cc
+++ b/src/core/outlier/outlier_detector.cc
@@ -6,60 +6,62 @@
 
 namespace cobaltgauge::core {
 
-void OutlierDetector::Evidence::Forget(Time before)
+void OutlierDetector::Evidence::RemoveBefore(Time before)
 {
-  std::erase_if(this->LateAt,
+  std::erase_if(this->LatestByReporter,
                 [before](const auto& item) { return item.second < before; });
 }
 
-bool OutlierDetector::SuspectsItself() const
+bool OutlierDetector::IsLocalFaultLikely() const
 {
-  const std::uint64_t late = this->Late + this->LateBefore;
-  const std::uint64_t answered = this->Answered + this->AnsweredBefore;
-  return late * kAnsweredPerLate > answered;
+  const std::uint64_t late = this->LateCount + this->PreviousLateCount;
+  const std::uint64_t responses = this->Responses + this->PreviousResponses;
+  return late * kAnsweredPerLate > responses;
 }
 
-void OutlierDetector::OnLate(BackendId backend)
+void OutlierDetector::OnLateResponse(BackendId backend)
 {
-  ++this->Late;
-  ++this->Counters.LateAnswers;
+  ++this->LateCount;
+  ++this->Counters.LateResponses;
   // Where much is late, this daemon or its links are the likelier cause.
-  if (this->SuspectsItself()) {
+  if (this->IsLocalFaultLikely()) {
     ++this->Counters.Withheld;
     return;
   }
-  if (this->Pending.size() < kMostObservations) {
-    this->Pending.push_back({ backend, this->Reporter });
+  if (this->PendingObservations.size() < kMostObservations) {
+    this->PendingObservations.push_back({ backend, this->Reporter });
   }
 }
 
 OutlierReport OutlierDetector::TakeReport()
 {
-  return { std::exchange(this->Pending, {}) };
+  return { std::exchange(this->PendingObservations, {}) };
 }
 
-std::vector<BackendId> OutlierDetector::Decide(const OutlierReport& report,
-                                               Time now)
+std::vector<BackendId> OutlierDetector::ProcessReport(
+  const OutlierReport& report,
+  Time now)
 {
-  std::vector<BackendId> found;
+  std::vector<BackendId> detected;
   for (const OutlierObservation& observation : report.observations) {
-    Evidence& evidence = this->Observed[observation.backend];
-    evidence.LateAt[observation.reporter] = now;
-    evidence.Forget(now - kOutlierEvidence);
-    if (evidence.LateAt.size() < kOutlierReporters) {
+    Evidence& evidence = this->EvidenceByBackend[observation.backend];
+    evidence.LatestByReporter[observation.reporter] = now;
+    evidence.RemoveBefore(now - kOutlierEvidence);
+    if (evidence.LatestByReporter.size() < kOutlierReporters) {
       continue;
     }
     const auto [outlier, isNew] =
       this->Outliers.insert_or_assign(observation.backend, now + kOutlierFor);
     if (isNew) {
-      ++this->Counters.Found;
-      found.push_back(observation.backend);
+      ++this->Counters.Detected;
+      detected.push_back(observation.backend);
     }
   }
-  return found;
+  return detected;
 }
 
-void OutlierDetector::Adopt(const std::vector<BackendId>& outliers, Time now)
+void OutlierDetector::SetOutliers(const std::vector<BackendId>& outliers,
+                                  Time now)
 {
   this->Outliers.clear();
   for (const BackendId backend : outliers) {
@@ -71,17 +73,18 @@
 {
   std::erase_if(this->Outliers,
                 [now](const auto& item) { return item.second <= now; });
-  if (now < this->PeriodEnds) {
+  if (now < this->PeriodEnd) {
     return;
   }
-  this->PeriodEnds = now + kOutlierEvidence;
-  this->AnsweredBefore = std::exchange(this->Answered, 0);
-  this->LateBefore = std::exchange(this->Late, 0);
-  for (auto& [backend, evidence] : this->Observed) {
-    evidence.Forget(now - kOutlierEvidence);
+  this->PeriodEnd = now + kOutlierEvidence;
+  this->PreviousResponses = std::exchange(this->Responses, 0);
+  this->PreviousLateCount = std::exchange(this->LateCount, 0);
+  for (auto& [backend, evidence] : this->EvidenceByBackend) {
+    evidence.RemoveBefore(now - kOutlierEvidence);
   }
-  std::erase_if(this->Observed,
-                [](const auto& item) { return item.second.LateAt.empty(); });
+  std::erase_if(this->EvidenceByBackend, [](const auto& item) {
+    return item.second.LatestByReporter.empty();
+  });
 }
 
 std::vector<BackendId> OutlierDetector::GetOutliers() const
--- a/src/core/outlier/outlier_detector.h
+++ b/src/core/outlier/outlier_detector.h
@@ -16,9 +16,9 @@
 /// Counters of an OutlierDetector; see docs/METRICS.md.
 struct OutlierCounters
 {
-  std::uint64_t LateAnswers = 0;
+  std::uint64_t LateResponses = 0;
   std::uint64_t Withheld = 0; ///< Late answers blamed on this daemon itself.
-  std::uint64_t Found = 0;    ///< Verdicts of this daemon.
+  std::uint64_t Detected = 0; ///< Verdicts of this daemon.
 };
 
 /** \class OutlierDetector
@@ -38,26 +38,26 @@
   }
 
   /// A back end answered a caller of this daemon.
-  void OnAnswered() { ++this->Answered; }
+  void OnResponse() { ++this->Responses; }
 
   /// A back end left a caller of this daemon unanswered for kAnswerLate, or
   /// was silent and did not answer a probe either.
-  void OnLate(BackendId backend);
+  void OnLateResponse(BackendId backend);
 
   /// Take what this daemon has observed since, for those that decide.
   OutlierReport TakeReport();
 
   /// Take observations, where this daemon decides for others.
   /// \return the back ends that have become outliers by them.
-  std::vector<BackendId> Decide(const OutlierReport& report, Time now);
+  std::vector<BackendId> ProcessReport(const OutlierReport& report, Time now);
 
   /// Take the list of the daemon that decides.
-  void Adopt(const std::vector<BackendId>& outliers, Time now);
+  void SetOutliers(const std::vector<BackendId>& outliers, Time now);
 
   /// Forget a back end that has started anew.
-  void Forget(BackendId backend)
+  void Remove(BackendId backend)
   {
-    this->Observed.erase(backend);
+    this->EvidenceByBackend.erase(backend);
     this->Outliers.erase(backend);
   }
 
@@ -79,23 +79,23 @@
 private:
   struct Evidence
   {
-    std::map<std::uint64_t, Time> LateAt; ///< Latest by reporter.
+    std::map<std::uint64_t, Time> LatestByReporter; ///< Latest by reporter.
 
-    void Forget(Time before);
+    void RemoveBefore(Time before);
   };
 
-  bool SuspectsItself() const;
+  bool IsLocalFaultLikely() const;
 
   std::uint64_t Reporter;
-  std::vector<OutlierObservation> Pending;
-  std::map<BackendId, Evidence> Observed;
+  std::vector<OutlierObservation> PendingObservations;
+  std::map<BackendId, Evidence> EvidenceByBackend;
   std::map<BackendId, Time> Outliers; ///< With the end of the verdict.
   /// Of the present and the last period of kOutlierEvidence.
-  std::uint64_t Answered = 0;
-  std::uint64_t AnsweredBefore = 0;
-  std::uint64_t Late = 0;
-  std::uint64_t LateBefore = 0;
-  Time PeriodEnds{};
+  std::uint64_t Responses = 0;
+  std::uint64_t PreviousResponses = 0;
+  std::uint64_t LateCount = 0;
+  std::uint64_t PreviousLateCount = 0;
+  Time PeriodEnd{};
   OutlierCounters Counters;
 };
 
--- a/src/core/outlier/answer_deadlines.h
+++ b/src/core/outlier/response_deadlines.h
@@ -16,27 +16,27 @@
  *
  * Every answer is given the same time, so the queue is in order by itself.
  */
-class AnswerDeadlines
+class ResponseDeadlines
 {
 public:
   /// An answer that was expected by now.
-  struct Expected
+  struct PendingResponse
   {
     FlowFingerprint Flow{ 0 };
     std::uint32_t DataEnd = 0; ///< Sequence number after the caller's data.
-    Time Due{};
+    Time Deadline{};
   };
 
-  void Expect(FlowFingerprint flow, std::uint32_t dataEnd, Time now);
+  void Add(FlowFingerprint flow, std::uint32_t dataEnd, Time now);
 
   /// Take what is due, answered or not; the caller knows which.
-  std::vector<Expected> TakeDue(Time now);
+  std::vector<PendingResponse> TakeDue(Time now);
 
   /// Forget everything; for a process that was suspended.
-  void Clear() { this->Waiting.clear(); }
+  void Clear() { this->Pending.clear(); }
 
 private:
-  std::deque<Expected> Waiting;
+  std::deque<PendingResponse> Pending;
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/outlier/answer_times.h
+++ b/src/core/outlier/response_time_tracker.h
@@ -18,17 +18,20 @@
  * of its service.  The median is tracked by small steps, so that a third of
  * the back ends being slow hardly moves it.
  */
-class AnswerTimes
+class ResponseTimeTracker
 {
 public:
-  void OnAnswer(BackendId backend, ServiceId service, Duration took, Time now);
+  void OnResponse(BackendId backend,
+                  ServiceId service,
+                  Duration responseTime,
+                  Time now);
 
   /// Get how many times longer than usual a back end takes.
   /// \return 1 where it is not slow, or too little was seen of it lately.
-  double GetSlowness(BackendId backend, ServiceId service, Time now) const;
+  double GetSlowdown(BackendId backend, ServiceId service, Time now) const;
 
   /// Forget a back end that has started anew.
-  void Forget(BackendId backend) { this->Means.erase(backend); }
+  void Remove(BackendId backend) { this->Means.erase(backend); }
 
   /// Forget back ends that have not answered for kAnswerTimesMemory.
   void Expire(Time now);
@@ -38,7 +41,7 @@
   {
     double Seconds = 0;
     std::uint32_t Samples = 0;
-    Time LastAt{};
+    Time UpdatedAt{};
   };
 
   std::unordered_map<BackendId, Mean> Means;
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -226,7 +226,7 @@
   const double flows = this->Inputs.Flows.openOn(candidate.id) + 1.0;
   const bool isWarming = now < candidate.warmUntil;
   const double warmUp = isWarming ? kWarmUpFactor : 1.0;
-  const double slowness = this->Inputs.ResponseTimes.GetSlowness(
+  const double slowness = this->Inputs.ResponseTimes.GetSlowdown(
     candidate.id, candidate.service, now);
   const double factor = std::max(warmUp, slowness);
   const double warmUpRate =
--- a/src/core/placement/backend_chooser.h
+++ b/src/core/placement/backend_chooser.h
@@ -7,7 +7,7 @@
 
 #include "core/backend_registry.h"
 #include "core/opening_pacer.h"
-#include "core/outlier/answer_times.h"
+#include "core/outlier/response_time_tracker.h"
 #include "core/placement/demotion.h"
 #include "core/placement/zone_spillover.h"
 #include "core/random.h"
@@ -40,7 +40,7 @@
   const TokenFlows& Flows;
   const OpeningPacer& Pacer;
   const WarmUpBudget& WarmUps;
-  const AnswerTimes& ResponseTimes;
+  const ResponseTimeTracker& ResponseTimes;
   Random& RandomSource;
   ZoneSpillover& Spill;
 };
--- a/src/core/proof/witnesses.h
+++ b/src/core/probe/witness_selection.h
@@ -16,7 +16,7 @@
 /// elsewhere, since a whole zone may be without power.  Where too few were
 /// heard, any of the suspect's service, drawn at random.
 /// \return kMostWitnesses addresses at most, none of them the suspect's.
-std::vector<Endpoint> ChooseWitnesses(BackendId suspect,
+std::vector<Endpoint> SelectWitnesses(BackendId suspect,
                                       const BackendHealth& health,
                                       BackendRegistry& backends,
                                       Random& random,
--- a/src/core/relay/view_relay_outliers.cc
+++ b/src/core/relay/view_relay_outliers.cc
@@ -24,7 +24,8 @@
   if (!this->Seeds.IsSelfSeed()) {
     return;
   }
-  const std::vector<BackendId> found = this->Outliers.Decide(report, now);
+  const std::vector<BackendId> found =
+    this->Outliers.ProcessReport(report, now);
   this->FoundOutliers.insert(
     this->FoundOutliers.end(), found.begin(), found.end());
   if (!found.empty()) {
--- a/src/core/relay/view_relay_updates.cc
+++ b/src/core/relay/view_relay_updates.cc
@@ -30,7 +30,7 @@
   }
   this->Seeds.OnUpdate(update, this->Timing, now);
   if (this->IsDecider(update.sender)) {
-    this->Outliers.Adopt(update.outliers, now);
+    this->Outliers.SetOutliers(update.outliers, now);
   }
   this->Clocks.Note(update, now);
   if (this->Load != nullptr && this->Upstream == update.sender) {
--- a/src/core/token_domains.cc
+++ b/src/core/token_domains.cc
@@ -25,7 +25,7 @@
 }
 
 void TokenSteering::onReachProbe(BackendId backend, ProbeResult result, Time now) {
-  if (result == ProbeResult::kUnproven) {
+  if (result == ProbeResult::kInconclusive) {
     return;
   }
   serving_.OnProbe(backend, result, now);
@@ -92,7 +92,7 @@
 
 void TokenSteering::onGroupProbe(BackendId backend, ProbeResult result, Time now) {
   const PlacementCandidate* candidate = backends_.findCandidate(backend);
-  if (candidate == nullptr || result == ProbeResult::kUnproven) {
+  if (candidate == nullptr || result == ProbeResult::kInconclusive) {
     return;
   }
   const BackendGroup group{candidate->service, candidate->zone};
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -7,17 +7,17 @@
 
 #include "core/constants.h"
 #include "core/hashing.h"
-#include "core/proof/witnesses.h"
+#include "core/probe/witness_selection.h"
 
 namespace cobaltgauge::core {
 namespace {
 
 constexpr Duration kMaintenanceInterval = 1s;
-std::unique_ptr<TokenReach> makeReach(const TokenSteeringOptions& options) {
+std::unique_ptr<TokenResolver> makeReach(const TokenSteeringOptions& options) {
   if (!options.home) {
     return nullptr;
   }
-  return std::make_unique<TokenReach>(AddressTokenCodec(*options.home, options.hashSeed));
+  return std::make_unique<TokenResolver>(AddressTokenCodec(*options.home, options.hashSeed));
 }
 
 }  // namespace
@@ -114,7 +114,7 @@
   health_.onAnswer(flow.backend, now);
   noteAnswerOfDomain(flow.backend, now);
   if (outliers_ != nullptr && !flow.dataAnswered) {
-    outliers_->OnAnswered();
+    outliers_->OnResponse();
   }
   if (latencies_ != nullptr && !flow.answered && flow.openedAt != Time{}) {
     latencies_->onOpeningAnswered(now - flow.openedAt);
@@ -122,7 +122,7 @@
     latencies_->onDataAnswered(now - flow.dataSentAt);
   }
   if (!flow.dataAnswered) {
-    answerTimes_.OnAnswer(backend.id, backend.service, now - flow.dataSentAt, now);
+    answerTimes_.OnResponse(backend.id, backend.service, now - flow.dataSentAt, now);
   }
   if (load_ != nullptr && (!flow.answered || !flow.dataAnswered)) {
     load_->OnResponse(flow.fingerprint, now);
@@ -153,7 +153,7 @@
     }
     // Of a flow that was opened elsewhere it is not known what was sent before.
     if (outliers_ != nullptr && flow.openedAt != Time{}) {
-      deadlines_.Expect(flow.fingerprint, flow.dataEnd, now);
+      deadlines_.Add(flow.fingerprint, flow.dataEnd, now);
     }
   } else {
     health_.onRepeatedData(flow.backend, flow.dataSentAt, now);
@@ -169,12 +169,12 @@
 }
 
 void TokenSteering::noteLateAnswers(Time now) {
-  for (const AnswerDeadlines::Expected& expected : deadlines_.TakeDue(now)) {
+  for (const ResponseDeadlines::PendingResponse& expected : deadlines_.TakeDue(now)) {
     const TokenFlow* flow = flows_.find(expected.Flow);
     const bool isLate = flow != nullptr && !flow->closed && !flow->dataAnswered &&
                         flow->dataEnd == expected.DataEnd;
     if (isLate) {
-      outliers_->OnLate(flow->backend);
+      outliers_->OnLateResponse(flow->backend);
     }
   }
 }
@@ -206,19 +206,20 @@
 }
 
 std::vector<Endpoint> TokenSteering::witnessesFor(BackendId suspect, Time now) {
-  return ChooseWitnesses(suspect, health_, backends_, random_, now);
+  return SelectWitnesses(suspect, health_, backends_, random_, now);
 }
 
 void TokenSteering::onProbe(BackendId backend, ProbeResult result, Time now) {
   // Silence that proves no death still asks for a look at its neighbours.
-  onGroupProbe(backend, result == ProbeResult::kUnproven ? ProbeResult::kTimedOut : result, now);
+  onGroupProbe(backend, result == ProbeResult::kInconclusive ? ProbeResult::kTimedOut : result,
+               now);
   if (!serving_.IsServing() && result != ProbeResult::kConnected) {
     health_.onProbe(backend, ProbeResult::kRefused, now);
     return;
   }
   if (health_.onProbe(backend, result, now)) {
     if (outliers_ != nullptr) {
-      outliers_->OnLate(backend);
+      outliers_->OnLateResponse(backend);
     }
     if (options_.resetDeadFlows) {
       resetFlowsOf(backend, RefuseReason::kBackendDead);
@@ -254,9 +255,9 @@
 void TokenSteering::forgetRestarted() {
   for (const BackendId id : backends_.takeRestarted()) {
     health_.forget(id);
-    answerTimes_.Forget(id);
+    answerTimes_.Remove(id);
     if (outliers_ != nullptr) {
-      outliers_->Forget(id);
+      outliers_->Remove(id);
     }
     forgetFlowsOf(id);
   }
--- a/src/core/token_steering.h
+++ b/src/core/token_steering.h
@@ -24,15 +24,15 @@
 #include "core/load/load_meter.h"
 #include "core/load/opening_tracker.h"
 #include "core/opening_pacer.h"
-#include "core/outlier/answer_deadlines.h"
-#include "core/outlier/answer_times.h"
 #include "core/outlier/outlier_detector.h"
+#include "core/outlier/response_deadlines.h"
+#include "core/outlier/response_time_tracker.h"
 #include "core/placement/backend_chooser.h"
 #include "core/placement/local_demotions.h"
 #include "core/random.h"
-#include "core/reach/token_reach.h"
 #include "core/route_table.h"
 #include "core/token_flows.h"
+#include "core/tokens/token_resolver.h"
 #include "core/warmup/warm_up_budget.h"
 
 namespace cobaltgauge::core {
@@ -210,7 +210,7 @@
 
   TokenSteeringOptions options_;
   Random& random_;
-  std::unique_ptr<TokenReach> reach_;  ///< Null: tokens are hashes.
+  std::unique_ptr<TokenResolver> reach_;  ///< Null: tokens are hashes.
   BackendRegistry backends_;
   RouteTable routes_;
   TokenFlows flows_;
@@ -226,10 +226,10 @@
   OpeningDecision decision_;
   OutlierDetector* outliers_ = nullptr;
   RankAdmission* admission_ = nullptr;
-  AnswerDeadlines deadlines_;
+  ResponseDeadlines deadlines_;
   OpeningTracker outcomes_;
   LoadMeter* load_ = nullptr;
-  AnswerTimes answerTimes_;
+  ResponseTimeTracker answerTimes_;
   SuspectDemotion suspectDemotion_{health_};
   OutlierDemotion outlierDemotion_;
   ZoneSpillover spill_;
--- a/src/core/reach/address_token.cc
+++ b/src/core/tokens/address_token.cc
@@ -1,4 +1,4 @@
-#include "core/reach/address_token.h"
+#include "core/tokens/address_token.h"
 
 #include "core/hashing.h"
 
@@ -10,7 +10,7 @@
 /// A product's highest bits depend on all bits of both factors.
 constexpr unsigned kCheckShift = 32 - kCheckBits;
 
-std::uint8_t CheckOf(std::uint32_t multiplier, std::uint16_t port)
+std::uint8_t ComputeCheck(std::uint32_t multiplier, std::uint16_t port)
 {
   const std::uint32_t product = multiplier * (std::uint32_t{ port } + 1);
   return static_cast<std::uint8_t>(product >> kCheckShift);
@@ -18,14 +18,15 @@
 
 } // namespace
 
-bool PortCheck::Fits(std::uint16_t port) const
+bool PortCheck::Matches(std::uint16_t port) const
 {
-  return CheckOf(this->Multiplier, port) == this->Check;
+  return ComputeCheck(this->Multiplier, port) == this->Check;
 }
 
-AddressTokenCodec::AddressTokenCodec(const IpAddress& home, std::uint64_t seed)
-  : FirstByte(home.bytes[0])
-  , IsUsable(!home.isV6)
+AddressTokenCodec::AddressTokenCodec(const IpAddress& localAddress,
+                                     std::uint64_t seed)
+  : FirstByte(localAddress.bytes[0])
+  , HasIpv4(!localAddress.isV6)
   , Seed(seed)
 {
 }
@@ -42,13 +43,15 @@
   const Endpoint& endpoint) const
 {
   const auto& bytes = endpoint.address.bytes;
-  const bool isNear = !endpoint.address.isV6 && bytes[0] == this->FirstByte;
-  if (!this->IsUsable || !isNear) {
+  const bool isEncodable =
+    !endpoint.address.isV6 && bytes[0] == this->FirstByte;
+  if (!this->HasIpv4 || !isEncodable) {
     return std::nullopt;
   }
   const std::uint32_t host = (std::uint32_t{ bytes[1] } << 16U) |
     (std::uint32_t{ bytes[2] } << 8U) | bytes[3];
-  const std::uint8_t check = CheckOf(this->GetMultiplier(host), endpoint.port);
+  const std::uint8_t check =
+    ComputeCheck(this->GetMultiplier(host), endpoint.port);
   const auto token = SteeringToken{ (host << kCheckBits) | check };
   return token == kNoToken ? std::nullopt : std::optional(token);
 }
@@ -66,7 +69,7 @@
                                                   std::uint16_t port) const
 {
   const PortCheck check = this->GetPortCheck(token);
-  if (!this->IsUsable || token == kNoToken || !check.Fits(port)) {
+  if (!this->HasIpv4 || token == kNoToken || !check.Matches(port)) {
     return std::nullopt;
   }
   Endpoint endpoint;
--- a/src/core/reach/address_token.h
+++ b/src/core/tokens/address_token.h
@@ -21,7 +21,7 @@
   std::uint8_t Check = 0;
 
   /// Tell whether a port gives this check; a wrong one does so once in 256.
-  bool Fits(std::uint16_t port) const;
+  bool Matches(std::uint16_t port) const;
 };
 
 /** \class AddressTokenCodec
@@ -37,7 +37,7 @@
 public:
   /// \param home any IPv4 address of this daemon.
   /// \param seed the same at all daemons of a cluster.
-  AddressTokenCodec(const IpAddress& home, std::uint64_t seed);
+  AddressTokenCodec(const IpAddress& localAddress, std::uint64_t seed);
 
   /// Get the token of an address.
   /// \return nothing where it does not fit: IPv6, or another first byte.
@@ -56,7 +56,7 @@
   std::uint32_t GetMultiplier(std::uint32_t host) const;
 
   std::uint8_t FirstByte;
-  bool IsUsable; ///< This daemon has an IPv4 address.
+  bool HasIpv4; ///< This daemon has an IPv4 address.
   std::uint64_t Seed;
 };
 
--- a/src/core/reach/port_finder.cc
+++ b/src/core/tokens/port_finder.cc
@@ -1,4 +1,4 @@
-#include "core/reach/port_finder.h"
+#include "core/tokens/port_finder.h"
 
 #include <algorithm>
 
@@ -7,7 +7,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-constexpr std::uint32_t kHighestPort = 65535;
+constexpr std::uint32_t kMaxPort = 65535;
 
 } // namespace
 
@@ -37,17 +37,18 @@
 
 std::optional<std::uint16_t> PortFinder::FindPort() const
 {
-  const std::size_t quarter = this->Checks.size() / 4;
-  const auto needed = static_cast<std::ptrdiff_t>(
-    std::max(kHostsForPort, this->Checks.size() - quarter));
+  const std::size_t allowedMismatches = this->Checks.size() / 4;
+  const auto required = static_cast<std::ptrdiff_t>(
+    std::max(kHostsForPort, this->Checks.size() - allowedMismatches));
   std::optional<std::uint16_t> found;
-  for (std::uint32_t port = 1; port <= kHighestPort; ++port) {
+  for (std::uint32_t port = 1; port <= kMaxPort; ++port) {
     const auto candidate = static_cast<std::uint16_t>(port);
-    const auto fitting = std::count_if(
-      this->Checks.begin(),
-      this->Checks.end(),
-      [candidate](const PortCheck& check) { return check.Fits(candidate); });
-    if (fitting < needed) {
+    const auto matching = std::count_if(this->Checks.begin(),
+                                        this->Checks.end(),
+                                        [candidate](const PortCheck& check) {
+                                          return check.Matches(candidate);
+                                        });
+    if (matching < required) {
       continue;
     }
     if (found) {
--- a/src/core/reach/port_finder.h
+++ b/src/core/tokens/port_finder.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <vector>
 
-#include "core/reach/address_token.h"
+#include "core/tokens/address_token.h"
 #include "core/types.h"
 
 namespace cobaltgauge::core {
--- a/src/core/reach/token_index.cc
+++ b/src/core/tokens/token_index.cc
@@ -1,4 +1,4 @@
-#include "core/reach/token_index.h"
+#include "core/tokens/token_index.h"
 
 #include "core/hashing.h"
 
@@ -22,7 +22,7 @@
   this->Ids.try_emplace(HashTokenOf(id), id);
 }
 
-void TokenIndex::ForgetBackend(BackendId id)
+void TokenIndex::RemoveBackend(BackendId id)
 {
   if (this->OwnsHash(id)) {
     this->Ids.erase(HashTokenOf(id));
@@ -39,54 +39,55 @@
 {
   if (const std::optional<SteeringToken> token = this->Encode(endpoint)) {
     this->Addresses[*token].insert(endpoint);
-    this->Reach->AddPort(endpoint.port);
+    this->Resolver->AddPort(endpoint.port);
   }
 }
 
-void TokenIndex::ForgetAddress(const Endpoint& endpoint)
+void TokenIndex::RemoveAddress(const Endpoint& endpoint)
 {
   const std::optional<SteeringToken> token = this->Encode(endpoint);
   if (!token) {
     return;
   }
-  std::set<Endpoint>& sharing = this->Addresses[*token];
-  sharing.erase(endpoint);
-  if (sharing.empty()) {
+  std::set<Endpoint>& endpoints = this->Addresses[*token];
+  endpoints.erase(endpoint);
+  if (endpoints.empty()) {
     this->Addresses.erase(*token);
   }
 }
 
-std::optional<TokenIndex::Name> TokenIndex::Find(SteeringToken token) const
+std::optional<TokenIndex::Target> TokenIndex::Find(SteeringToken token) const
 {
   if (this->Addresses.count(token) != 0) {
-    const Endpoint* only = this->FindOnlyAddress(token);
-    return only == nullptr ? std::nullopt : std::optional<Name>(*only);
+    const Endpoint* unique = this->FindUniqueAddress(token);
+    return unique == nullptr ? std::nullopt : std::optional<Target>(*unique);
   }
   const auto id = this->Ids.find(token);
   return id == this->Ids.end() ? std::nullopt
-                               : std::optional<Name>(id->second);
+                               : std::optional<Target>(id->second);
 }
 
 SteeringToken TokenIndex::GetToken(BackendId id,
                                    const Endpoint& endpoint) const
 {
   const std::optional<SteeringToken> token = this->Encode(endpoint);
-  const bool isCertain = token && this->FindOnlyAddress(*token) != nullptr;
-  return isCertain ? *token : HashTokenOf(id);
+  const bool isUnique = token && this->FindUniqueAddress(*token) != nullptr;
+  return isUnique ? *token : HashTokenOf(id);
 }
 
 std::optional<SteeringToken> TokenIndex::Encode(const Endpoint& endpoint) const
 {
-  return this->Reach == nullptr ? std::nullopt
-                                : this->Reach->GetCodec().Encode(endpoint);
+  return this->Resolver == nullptr
+    ? std::nullopt
+    : this->Resolver->GetCodec().Encode(endpoint);
 }
 
-const Endpoint* TokenIndex::FindOnlyAddress(SteeringToken token) const
+const Endpoint* TokenIndex::FindUniqueAddress(SteeringToken token) const
 {
-  const auto sharing = this->Addresses.find(token);
-  const bool isOnly =
-    sharing != this->Addresses.end() && sharing->second.size() == 1;
-  return isOnly ? &*sharing->second.begin() : nullptr;
+  const auto endpoints = this->Addresses.find(token);
+  const bool isUnique =
+    endpoints != this->Addresses.end() && endpoints->second.size() == 1;
+  return isUnique ? &*endpoints->second.begin() : nullptr;
 }
 
 } // namespace cobaltgauge::core
--- a/src/core/reach/token_index.h
+++ b/src/core/tokens/token_index.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 #include <variant>
 
-#include "core/reach/token_reach.h"
+#include "core/tokens/token_resolver.h"
 #include "core/types.h"
 
 namespace cobaltgauge::core {
@@ -29,24 +29,24 @@
 public:
   /// \param reach writes addresses into tokens and is told their ports;
   /// outlives the index.  Null: tokens are hashes.
-  explicit TokenIndex(TokenReach* reach)
-    : Reach(reach)
+  explicit TokenIndex(TokenResolver* resolver)
+    : Resolver(resolver)
   {
   }
 
   void AddBackend(BackendId id);
-  void ForgetBackend(BackendId id);
+  void RemoveBackend(BackendId id);
   /// Tell whether the hash of an id is this back end's.
   bool OwnsHash(BackendId id) const;
 
   /// Note an address at which a back end is registered.
   void AddAddress(const Endpoint& endpoint);
-  void ForgetAddress(const Endpoint& endpoint);
+  void RemoveAddress(const Endpoint& endpoint);
 
   /// What a token names.
-  using Name = std::variant<Endpoint, BackendId>;
+  using Target = std::variant<Endpoint, BackendId>;
   /// \return nothing where the token is unknown or two addresses share it.
-  std::optional<Name> Find(SteeringToken token) const;
+  std::optional<Target> Find(SteeringToken token) const;
 
   /// Get the token to be written into packets of a back end.
   SteeringToken GetToken(BackendId id, const Endpoint& endpoint) const;
@@ -54,9 +54,9 @@
 private:
   std::optional<SteeringToken> Encode(const Endpoint& endpoint) const;
   /// Get the only address with a token; null where there is none or more.
-  const Endpoint* FindOnlyAddress(SteeringToken token) const;
+  const Endpoint* FindUniqueAddress(SteeringToken token) const;
 
-  TokenReach* Reach;
+  TokenResolver* Resolver;
   std::unordered_map<SteeringToken, BackendId> Ids; ///< By hash.
   std::unordered_map<SteeringToken, std::set<Endpoint>> Addresses;
 };
--- a/src/core/reach/token_reach.cc
+++ b/src/core/tokens/token_resolver.cc
@@ -1,4 +1,4 @@
-#include "core/reach/token_reach.h"
+#include "core/tokens/token_resolver.h"
 
 #include <utility>
 
@@ -6,7 +6,7 @@
 
 namespace cobaltgauge::core {
 
-void TokenReach::AddPort(std::uint16_t port)
+void TokenResolver::AddPort(std::uint16_t port)
 {
   if (!this->Ports.empty() && this->Ports.back() == port) {
     return;
@@ -18,10 +18,10 @@
   this->Ports.push_back(port);
 }
 
-std::optional<Endpoint> TokenReach::Resolve(SteeringToken token)
+std::optional<Endpoint> TokenResolver::Resolve(SteeringToken token)
 {
-  if (const std::optional<Endpoint> known = this->Decode(token)) {
-    return known;
+  if (const std::optional<Endpoint> resolved = this->Decode(token)) {
+    return resolved;
   }
   const std::optional<std::uint16_t> port = this->Finder.Observe(token);
   if (!port) {
@@ -33,20 +33,20 @@
   return this->Decode(token);
 }
 
-std::optional<Endpoint> TokenReach::Decode(SteeringToken token) const
+std::optional<Endpoint> TokenResolver::Decode(SteeringToken token) const
 {
   std::optional<Endpoint> found;
   for (const std::uint16_t port : this->Ports) {
-    const std::optional<Endpoint> fits = this->Codec.Decode(token, port);
-    if (fits && found) {
+    const std::optional<Endpoint> decoded = this->Codec.Decode(token, port);
+    if (decoded && found) {
       return std::nullopt; // Two ports fit; either may be wrong.
     }
-    found = fits ? fits : found;
+    found = decoded ? decoded : found;
   }
   return found;
 }
 
-std::optional<std::uint16_t> TokenReach::TakeFoundPort()
+std::optional<std::uint16_t> TokenResolver::TakeFoundPort()
 {
   return std::exchange(this->FoundPort, std::nullopt);
 }
--- a/src/core/reach/token_reach.h
+++ b/src/core/tokens/token_resolver.h
@@ -6,8 +6,8 @@
 #include <optional>
 #include <vector>
 
-#include "core/reach/address_token.h"
-#include "core/reach/port_finder.h"
+#include "core/tokens/address_token.h"
+#include "core/tokens/port_finder.h"
 #include "core/types.h"
 
 namespace cobaltgauge::core {
@@ -18,16 +18,16 @@
  * Ports of back ends come from registrations that were seen, or out of the
  * tokens themselves.
  */
-class TokenReach
+class TokenResolver
 {
 public:
-  explicit TokenReach(const AddressTokenCodec& codec)
+  explicit TokenResolver(const AddressTokenCodec& codec)
     : Codec(codec)
     , Finder(this->Codec)
   {
   }
-  TokenReach(const TokenReach&) = delete;
-  TokenReach& operator=(const TokenReach&) = delete;
+  TokenResolver(const TokenResolver&) = delete;
+  TokenResolver& operator=(const TokenResolver&) = delete;
 
   const AddressTokenCodec& GetCodec() const { return this->Codec; }
 
--- a/src/daemon/backend_prober.cc
+++ b/src/daemon/backend_prober.cc
@@ -18,7 +18,7 @@
   }
   const bool answered =
       error == asio::error::connection_refused || error == asio::error::connection_reset;
-  return answered ? core::ConnectOutcome::kRefused : core::ConnectOutcome::kFailed;
+  return answered ? core::ConnectOutcome::kRefused : core::ConnectOutcome::kLocalError;
 }
 
 }  // namespace
@@ -33,7 +33,7 @@
 
   core::BackendAddress backend;
   std::vector<core::Endpoint> witnesses;
-  core::DeathTrial proof;
+  core::FailureProbe proof;
   asio::steady_timer timer;
   std::list<asio::ip::tcp::socket> sockets;
   bool finished = false;
@@ -45,18 +45,18 @@
 }
 
 void BackendProber::takeStep(const std::shared_ptr<Trial>& trial) {
-  const core::DeathTrial::Step step = trial->proof.TakeStep(bootTime());
-  const std::size_t number = trial->proof.GetStep();
-  if (step.TriesSuspect) {
+  const core::FailureProbe::Step step = trial->proof.Advance(bootTime());
+  const std::size_t number = trial->proof.GetStepIndex();
+  if (step.ConnectsToSuspect) {
     connect(trial, trial->backend.endpoint, [this, trial](core::ConnectOutcome outcome) {
-      trial->proof.OnSuspect(outcome);
+      trial->proof.OnSuspectResult(outcome);
       finishIfDone(trial);
     });
   }
-  for (std::size_t i = 0; i < trial->witnesses.size() && i < step.AsksWitness.size(); ++i) {
-    if (step.AsksWitness[i]) {
+  for (std::size_t i = 0; i < trial->witnesses.size() && i < step.ConnectsToWitness.size(); ++i) {
+    if (step.ConnectsToWitness[i]) {
       connect(trial, trial->witnesses[i], [trial, i, number](core::ConnectOutcome outcome) {
-        trial->proof.OnWitness(i, number, outcome);
+        trial->proof.OnWitnessResult(i, number, outcome);
       });
     }
   }
@@ -64,7 +64,7 @@
   if (trial->finished) {
     return;
   }
-  trial->timer.expires_after(trial->proof.GetNextStep() - bootTime());
+  trial->timer.expires_after(trial->proof.GetNextStepTime() - bootTime());
   trial->timer.async_wait([this, trial](const asio::error_code& error) {
     if (!error && !trial->finished) {
       takeStep(trial);
@@ -96,8 +96,8 @@
     asio::error_code ignored;
     socket.close(ignored);
   }
-  if (*result == core::ProbeResult::kUnproven) {
-    logUnproven(trial->backend, trial->proof.GetDoubt());
+  if (*result == core::ProbeResult::kInconclusive) {
+    logUnproven(trial->backend, trial->proof.GetInconclusiveReason());
   }
   handler_(trial->backend, *result);
 }
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -115,7 +115,7 @@
             {"result", core::ToString(result)}});
 }
 
-void logUnproven(const core::BackendAddress& backend, core::ProbeDoubt doubt) {
+void logUnproven(const core::BackendAddress& backend, core::InconclusiveReason doubt) {
   logEvent(LogLevel::kInfo, "silence_unproven",
            {{"backend", hex(backend.id)}, {"doubt", core::ToString(doubt)}});
 }
--- a/src/daemon/token_log.h
+++ b/src/daemon/token_log.h
@@ -22,7 +22,7 @@
 void logProbe(const core::BackendAddress& backend, core::ProbeResult result);
 
 /// Logs why a back end that took no connection is not taken for dead.
-void logUnproven(const core::BackendAddress& backend, core::ProbeDoubt doubt);
+void logUnproven(const core::BackendAddress& backend, core::InconclusiveReason doubt);
 
 /// Logs changes of back ends that had no lines of their own.
 void logChangeSum(const ChangeLines::Sum& sum);
--- a/tests/core/backend_health_test.cc
+++ b/tests/core/backend_health_test.cc
@@ -108,7 +108,7 @@
   health.onOpening(kFirst, now);
   now += 200ms;
   health.takeProbes(kKnown, now);
-  BOOST_TEST(!health.onProbe(kFirst, ProbeResult::kUnproven, now));
+  BOOST_TEST(!health.onProbe(kFirst, ProbeResult::kInconclusive, now));
   BOOST_TEST(!health.isDead(kFirst));
   BOOST_TEST(health.isSuspected(kFirst, now));
   BOOST_TEST(health.counters().unproven == 1U);
@@ -122,7 +122,7 @@
   const core::Time proven = now;
   now += core::kProbeAgainAfter;
   health.takeProbes(kKnown, now);
-  health.onProbe(kFirst, ProbeResult::kUnproven, now);
+  health.onProbe(kFirst, ProbeResult::kInconclusive, now);
   health.expire(proven + core::kDeathHolds - 1ms);
   BOOST_TEST(health.isDead(kFirst));
   health.expire(proven + core::kDeathHolds);
--- a/tests/core/outlier/outlier_detector_test.cc
+++ b/tests/core/outlier/outlier_detector_test.cc
@@ -3,7 +3,7 @@
 #include <boost/test/unit_test.hpp>
 
 #include "core/constants.h"
-#include "core/outlier/answer_deadlines.h"
+#include "core/outlier/response_deadlines.h"
 
 namespace cobaltgauge::tests {
 namespace {
@@ -13,27 +13,27 @@
 using core::OutlierReport;
 using namespace std::chrono_literals;
 
-constexpr BackendId kSilent{ 7 };
+constexpr BackendId kUnresponsive{ 7 };
 constexpr BackendId kOther{ 8 };
 
 /// A daemon that decides, with one whose answers go well in front of it.
 struct DetectorFixture
 {
-  OutlierDetector Root{ 1 };
+  OutlierDetector Authority{ 1 };
   OutlierDetector Follower{ 2 };
   core::Time Now = 100s;
 
   DetectorFixture()
   {
     for (int i = 0; i < 100; ++i) {
-      this->Root.OnAnswered();
-      this->Follower.OnAnswered();
+      this->Authority.OnResponse();
+      this->Follower.OnResponse();
     }
   }
 
   void Report(std::uint64_t reporter, BackendId backend)
   {
-    this->Root.Decide({ { { backend, reporter } } }, this->Now);
+    this->Authority.ProcessReport({ { { backend, reporter } } }, this->Now);
   }
 };
 
@@ -42,86 +42,87 @@
 // Thirteen of 120 back ends said they were well and left every caller without
 // an answer; no daemon saw more than a flow or two of each (cflc-quotes-grown,
 // trouble-1).
-BOOST_AUTO_TEST_CASE(late_answers_at_two_daemons_make_an_outlier)
+BOOST_AUTO_TEST_CASE(late_responses_at_two_daemons_make_an_outlier)
 {
-  this->Follower.OnLate(kSilent);
+  this->Follower.OnLateResponse(kUnresponsive);
   const OutlierReport report = this->Follower.TakeReport();
-  BOOST_TEST(this->Root.Decide(report, this->Now).empty());
-  BOOST_TEST(!this->Root.IsOutlier(kSilent));
-  this->Root.OnLate(kSilent);
-  const auto found = this->Root.Decide(this->Root.TakeReport(), this->Now);
-  BOOST_REQUIRE(found.size() == 1U);
-  BOOST_TEST((found[0] == kSilent));
-  BOOST_TEST(this->Root.IsOutlier(kSilent));
-  BOOST_TEST(!this->Root.IsOutlier(kOther));
-  this->Follower.Adopt(this->Root.GetOutliers(), this->Now);
-  BOOST_TEST(this->Follower.IsOutlier(kSilent));
+  BOOST_TEST(this->Authority.ProcessReport(report, this->Now).empty());
+  BOOST_TEST(!this->Authority.IsOutlier(kUnresponsive));
+  this->Authority.OnLateResponse(kUnresponsive);
+  const auto detected =
+    this->Authority.ProcessReport(this->Authority.TakeReport(), this->Now);
+  BOOST_REQUIRE(detected.size() == 1U);
+  BOOST_TEST((detected[0] == kUnresponsive));
+  BOOST_TEST(this->Authority.IsOutlier(kUnresponsive));
+  BOOST_TEST(!this->Authority.IsOutlier(kOther));
+  this->Follower.SetOutliers(this->Authority.GetOutliers(), this->Now);
+  BOOST_TEST(this->Follower.IsOutlier(kUnresponsive));
 }
 
-BOOST_AUTO_TEST_CASE(one_daemon_alone_decides_nothing)
+BOOST_AUTO_TEST_CASE(reports_of_one_daemon_are_not_enough)
 {
   for (int i = 0; i < 10; ++i) {
-    this->Report(5, kSilent);
+    this->Report(5, kUnresponsive);
   }
-  BOOST_TEST(!this->Root.IsOutlier(kSilent));
+  BOOST_TEST(!this->Authority.IsOutlier(kUnresponsive));
 }
 
-BOOST_AUTO_TEST_CASE(old_observations_do_not_count)
+BOOST_AUTO_TEST_CASE(expired_observations_are_ignored)
 {
-  this->Report(5, kSilent);
+  this->Report(5, kUnresponsive);
   this->Now += core::kOutlierEvidence + 1ms;
-  this->Report(6, kSilent);
-  BOOST_TEST(!this->Root.IsOutlier(kSilent));
+  this->Report(6, kUnresponsive);
+  BOOST_TEST(!this->Authority.IsOutlier(kUnresponsive));
 }
 
-BOOST_AUTO_TEST_CASE(a_verdict_ends_without_new_evidence)
+BOOST_AUTO_TEST_CASE(outlier_state_expires_without_new_reports)
 {
-  this->Report(5, kSilent);
-  this->Report(6, kSilent);
+  this->Report(5, kUnresponsive);
+  this->Report(6, kUnresponsive);
   this->Now += core::kOutlierFor - 1ms;
-  this->Root.Expire(this->Now);
-  BOOST_TEST(this->Root.IsOutlier(kSilent));
+  this->Authority.Expire(this->Now);
+  BOOST_TEST(this->Authority.IsOutlier(kUnresponsive));
   this->Now += 1ms;
-  this->Root.Expire(this->Now);
-  BOOST_TEST(!this->Root.IsOutlier(kSilent));
+  this->Authority.Expire(this->Now);
+  BOOST_TEST(!this->Authority.IsOutlier(kUnresponsive));
 }
 
-BOOST_AUTO_TEST_CASE(a_list_that_is_not_renewed_ends)
+BOOST_AUTO_TEST_CASE(received_outlier_list_expires)
 {
-  this->Follower.Adopt({ kSilent }, this->Now);
+  this->Follower.SetOutliers({ kUnresponsive }, this->Now);
   this->Follower.Expire(this->Now + core::kOutlierFor);
-  BOOST_TEST(!this->Follower.IsOutlier(kSilent));
+  BOOST_TEST(!this->Follower.IsOutlier(kUnresponsive));
 }
 
-BOOST_AUTO_TEST_CASE(a_list_replaces_the_one_before)
+BOOST_AUTO_TEST_CASE(received_outlier_list_replaces_the_previous_one)
 {
-  this->Follower.Adopt({ kSilent }, this->Now);
-  this->Follower.Adopt({ kOther }, this->Now);
-  BOOST_TEST(!this->Follower.IsOutlier(kSilent));
+  this->Follower.SetOutliers({ kUnresponsive }, this->Now);
+  this->Follower.SetOutliers({ kOther }, this->Now);
+  BOOST_TEST(!this->Follower.IsOutlier(kUnresponsive));
   BOOST_TEST(this->Follower.IsOutlier(kOther));
 }
 
 // A daemon on a lossy link sees late answers of all back ends.
-BOOST_AUTO_TEST_CASE(a_daemon_to_which_much_is_late_suspects_itself)
+BOOST_AUTO_TEST_CASE(daemon_with_mostly_late_responses_withholds_reports)
 {
   OutlierDetector lossy{ 3 };
   for (int i = 0; i < 9; ++i) {
-    lossy.OnAnswered();
+    lossy.OnResponse();
   }
   for (std::uint64_t id = 1; id <= 20; ++id) {
-    lossy.OnLate(BackendId{ id });
+    lossy.OnLateResponse(BackendId{ id });
   }
   BOOST_TEST(lossy.TakeReport().observations.size() == 3U);
   BOOST_TEST(lossy.GetCounters().Withheld == 17U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_remembered_is_bounded)
+BOOST_AUTO_TEST_CASE(pending_observations_are_bounded)
 {
   for (std::uint64_t id = 1; id <= 1000; ++id) {
     for (int i = 0; i < 10; ++i) {
-      this->Follower.OnAnswered();
+      this->Follower.OnResponse();
     }
-    this->Follower.OnLate(BackendId{ id });
+    this->Follower.OnLateResponse(BackendId{ id });
   }
   BOOST_TEST(this->Follower.TakeReport().observations.size() ==
              core::kMostObservations);
@@ -129,13 +130,13 @@
 
 BOOST_AUTO_TEST_SUITE_END()
 
-BOOST_AUTO_TEST_SUITE(AnswerDeadlinesTest)
+BOOST_AUTO_TEST_SUITE(ResponseDeadlinesTest)
 
-BOOST_AUTO_TEST_CASE(answers_fall_due_in_order)
+BOOST_AUTO_TEST_CASE(responses_become_due_in_order)
 {
-  core::AnswerDeadlines deadlines;
-  deadlines.Expect(core::FlowFingerprint{ 1 }, 10, 1s);
-  deadlines.Expect(core::FlowFingerprint{ 2 }, 20, 2s);
+  core::ResponseDeadlines deadlines;
+  deadlines.Add(core::FlowFingerprint{ 1 }, 10, 1s);
+  deadlines.Add(core::FlowFingerprint{ 2 }, 20, 2s);
   BOOST_TEST(deadlines.TakeDue(1s + core::kAnswerLate - 1ms).empty());
   const auto due = deadlines.TakeDue(1s + core::kAnswerLate);
   BOOST_REQUIRE(due.size() == 1U);
@@ -145,11 +146,11 @@
   BOOST_TEST(deadlines.TakeDue(10s).empty());
 }
 
-BOOST_AUTO_TEST_CASE(the_queue_is_bounded)
+BOOST_AUTO_TEST_CASE(queue_is_bounded)
 {
-  core::AnswerDeadlines deadlines;
+  core::ResponseDeadlines deadlines;
   for (std::size_t i = 0; i < 2 * core::kMostExpectedAnswers; ++i) {
-    deadlines.Expect(core::FlowFingerprint{ i }, 1, 1s);
+    deadlines.Add(core::FlowFingerprint{ i }, 1, 1s);
   }
   BOOST_TEST(deadlines.TakeDue(10s).size() == core::kMostExpectedAnswers);
 }
--- a/tests/core/proof/living_flows_property_test.cc
+++ b/tests/core/probe/healthy_flows_property_test.cc
@@ -12,22 +12,22 @@
 
 /// Back ends that live and answer every connection, under a daemon that loses
 /// packets, stands still, and has a view that lapses and comes back late.
-struct LivingFleet : TokenFixture
+struct HealthyBackends : TokenFixture
 {
   static constexpr std::uint64_t kBackends = 3;
   static constexpr std::uint16_t kFlows = 6;
-  std::vector<BackendId> Flows; ///< Their back ends, by port.
-  std::uint32_t Sent = 0;
+  std::vector<BackendId> BackendByPort; ///< Their back ends, by port.
+  std::uint32_t Sequence = 0;
 
-  LivingFleet()
+  HealthyBackends()
   {
     for (std::uint16_t port = 0; port < kFlows; ++port) {
       this->now += core::kOpeningSpacing;
-      this->Flows.push_back(this->openAndAnswer(port));
+      this->BackendByPort.push_back(this->openAndAnswer(port));
     }
   }
 
-  void Act()
+  void PerformRandomAction()
   {
     const int action = *rc::gen::inRange(0, 9);
     const auto port = *rc::gen::inRange<std::uint16_t>(0, kFlows);
@@ -35,14 +35,14 @@
     this->now += std::chrono::milliseconds(*rc::gen::inRange(0, 2'000));
     switch (action) {
       case 0: // Data whose answer is lost, or that was sent before.
-        this->Sent += *rc::gen::inRange<std::uint32_t>(0, 2) * 10;
-        this->Pass(port, 1);
+        this->Sequence += *rc::gen::inRange<std::uint32_t>(0, 2) * 10;
+        this->SendData(port, 1);
         break;
       case 1:
-        this->Pass(port, this->now.count());
+        this->SendData(port, this->now.count());
         break;
       case 2: // An opening that nobody answers.
-        this->open(static_cast<std::uint16_t>(1'000 + this->Sent++));
+        this->open(static_cast<std::uint16_t>(1'000 + this->Sequence++));
         break;
       case 3:
         this->Probe();
@@ -65,7 +65,7 @@
       default: // A late word of the one that was at the address before.
         this->steering.backends().put("servers/before-" + std::to_string(id),
                                       this->RegistrationOf(id + kBackends),
-                                      this->Early(id),
+                                      this->GetLateRevision(id),
                                       this->now);
         this->steering.onViewChanged();
         break;
@@ -80,7 +80,7 @@
 
   /// \return a revision of one that came before: it is known already, and
   /// only its last word is late.
-  core::Revision Early(std::uint64_t id)
+  core::Revision GetLateRevision(std::uint64_t id)
   {
     core::BackendRegistry& backends = this->steering.backends();
     const bool isKnown =
@@ -89,20 +89,20 @@
   }
 
   /// Tell the living ones from those that were at their addresses before.
-  static bool Lives(BackendId id)
+  static bool IsHealthy(BackendId id)
   {
     return static_cast<std::uint64_t>(id) <= kBackends;
   }
 
-  void Pass(std::uint16_t port, std::int64_t acknowledgement)
+  void SendData(std::uint16_t port, std::int64_t acknowledgement)
   {
-    const BackendId backend = this->Flows[port];
+    const BackendId backend = this->BackendByPort[port];
     const core::Verdict verdict =
       this->send(port,
                  backend,
                  static_cast<std::uint32_t>(acknowledgement),
                  10,
-                 this->Sent);
+                 this->Sequence);
     // It may be dropped, where the view has forgotten the back end.
     RC_ASSERT(!refusalOf(verdict).has_value());
   }
@@ -114,23 +114,23 @@
          this->steering.takeProbes(this->now)) {
       const auto result = *rc::gen::element(ProbeResult::kConnected,
                                             ProbeResult::kRefused,
-                                            ProbeResult::kUnproven);
+                                            ProbeResult::kInconclusive);
       this->steering.onProbe(probed.id, result, this->now);
     }
   }
 };
 
-BOOST_AUTO_TEST_SUITE(LivingFlowsPropertyTest)
+BOOST_AUTO_TEST_SUITE(HealthyFlowsPropertyTest)
 
-BOOST_AUTO_TEST_CASE(no_flow_of_a_living_back_end_is_reset)
+BOOST_AUTO_TEST_CASE(no_flow_of_a_healthy_backend_is_reset)
 {
   BOOST_TEST(rc::check("flows of living back ends pass", [] {
-    LivingFleet fleet;
+    HealthyBackends fixture;
     const int actions = *rc::gen::inRange(1, 60);
     for (int i = 0; i < actions; ++i) {
-      fleet.Act();
-      for (const core::FlowReset& reset : fleet.steering.takeResets()) {
-        RC_ASSERT(!LivingFleet::Lives(reset.backend));
+      fixture.PerformRandomAction();
+      for (const core::FlowReset& reset : fixture.steering.takeResets()) {
+        RC_ASSERT(!HealthyBackends::IsHealthy(reset.backend));
       }
     }
   }));
--- a/tests/core/proof/witnesses_test.cc
+++ b/tests/core/probe/witness_selection_test.cc
@@ -1,4 +1,4 @@
-#include "core/proof/witnesses.h"
+#include "core/probe/witness_selection.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,9 +16,9 @@
 {
   core::BackendHealth Health;
 
-  std::vector<core::Endpoint> Choose(std::uint64_t suspect)
+  std::vector<core::Endpoint> Select(std::uint64_t suspect)
   {
-    return core::ChooseWitnesses(BackendId{ suspect },
+    return core::SelectWitnesses(BackendId{ suspect },
                                  this->Health,
                                  this->steering.backends(),
                                  this->random,
@@ -30,52 +30,54 @@
     return this->steering.backends().find(BackendId{ id })->endpoint;
   }
 
-  void Hear(std::uint64_t id)
+  void RecordResponse(std::uint64_t id)
   {
     this->now += 1ms;
     this->Health.onAnswer(BackendId{ id }, this->now);
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(WitnessesTest, WitnessFixture)
+BOOST_FIXTURE_TEST_SUITE(WitnessSelectionTest, WitnessFixture)
 
-BOOST_AUTO_TEST_CASE(the_last_heard_of_its_zone_and_of_another_are_asked)
+BOOST_AUTO_TEST_CASE(
+  most_recent_responders_of_same_and_other_zone_are_selected)
 {
   for (std::uint8_t id = 11; id <= 14; ++id) {
     this->putInZone("near", id);
-    this->Hear(id);
+    this->RecordResponse(id);
   }
   for (std::uint8_t id = 21; id <= 23; ++id) {
     this->putInZone("far", id);
-    this->Hear(id);
+    this->RecordResponse(id);
   }
   const std::vector<core::Endpoint> expected{ this->EndpointOf(13),
                                               this->EndpointOf(23) };
-  BOOST_TEST((this->Choose(14) == expected));
+  BOOST_TEST((this->Select(14) == expected));
 }
 
-BOOST_AUTO_TEST_CASE(one_that_is_silent_itself_is_no_witness)
+BOOST_AUTO_TEST_CASE(unresponsive_backend_is_not_selected)
 {
-  this->Hear(2);
-  this->Hear(3);
+  this->RecordResponse(2);
+  this->RecordResponse(3);
   this->Health.onOpening(BackendId{ 3 }, this->now);
   this->now += core::kAnswerPatience + 1ms;
-  BOOST_TEST((this->Choose(1).front() == this->EndpointOf(2)));
+  BOOST_TEST((this->Select(1).front() == this->EndpointOf(2)));
 }
 
-BOOST_AUTO_TEST_CASE(where_none_was_heard_some_are_drawn_and_never_itself)
+BOOST_AUTO_TEST_CASE(
+  random_backends_except_the_suspect_are_selected_without_responders)
 {
   for (int round = 0; round < 50; ++round) {
-    const std::vector<core::Endpoint> chosen = this->Choose(1);
-    BOOST_TEST(!chosen.empty());
-    BOOST_TEST(std::count(chosen.begin(), chosen.end(), this->EndpointOf(1)) ==
-               0);
+    const std::vector<core::Endpoint> selected = this->Select(1);
+    BOOST_TEST(!selected.empty());
+    BOOST_TEST(
+      std::count(selected.begin(), selected.end(), this->EndpointOf(1)) == 0);
   }
 }
 
-BOOST_AUTO_TEST_CASE(one_that_is_not_registered_has_no_witnesses)
+BOOST_AUTO_TEST_CASE(unregistered_suspect_has_no_witnesses)
 {
-  BOOST_TEST(this->Choose(99).empty());
+  BOOST_TEST(this->Select(99).empty());
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/relay/view_relay_test.cc
+++ b/tests/core/relay/view_relay_test.cc
@@ -177,9 +177,9 @@
   this->Run(10s);
   for (const std::size_t observer : { 40U, 90U }) {
     for (int i = 0; i < 10; ++i) {
-      this->At(observer).Outliers.OnAnswered();
+      this->At(observer).Outliers.OnResponse();
     }
-    this->At(observer).Outliers.OnLate(core::BackendId{ 1 });
+    this->At(observer).Outliers.OnLateResponse(core::BackendId{ 1 });
   }
   this->Run(2s);
   for (auto& node : this->Nodes) {
--- a/tests/core/restarted_backends_test.cc
+++ b/tests/core/restarted_backends_test.cc
@@ -75,7 +75,7 @@
 
 BOOST_AUTO_TEST_CASE(an_outlier_that_starts_again_is_none) {
   putBackend(1, run(1000));
-  outliers.Adopt({BackendId{1}}, now);
+  outliers.SetOutliers({BackendId{1}}, now);
   putBackend(1, run(2000));
   steering.onViewChanged();
   BOOST_TEST(!outliers.IsOutlier(BackendId{1}));
--- a/tests/core/token_openings_test.cc
+++ b/tests/core/token_openings_test.cc
@@ -340,7 +340,7 @@
   core::OutlierDetector outliers(1);
   steering.setOutliers(&outliers);
   const BackendId outlier = openAndAnswer(1);
-  outliers.Adopt({outlier}, now);
+  outliers.SetOutliers({outlier}, now);
   for (std::uint16_t port = 2; port <= 30; ++port) {
     now += 100ms;
     BOOST_TEST((openAndAnswer(port) != outlier));
@@ -351,7 +351,7 @@
 BOOST_AUTO_TEST_CASE(many_outliers_count_for_nothing) {
   core::OutlierDetector outliers(1);
   steering.setOutliers(&outliers);
-  outliers.Adopt({BackendId{1}, BackendId{2}}, now);
+  outliers.SetOutliers({BackendId{1}, BackendId{2}}, now);
   std::map<BackendId, int> flows;
   for (std::uint16_t port = 1; port <= 30; ++port) {
     now += 100ms;
--- a/tests/core/token_steering_test.cc
+++ b/tests/core/token_steering_test.cc
@@ -95,7 +95,7 @@
   now += 200ms;
   send(1, backend, 1, 100);
   BOOST_REQUIRE(steering.takeProbes(now).size() == 1U);
-  steering.onProbe(backend, ProbeResult::kUnproven, now);
+  steering.onProbe(backend, ProbeResult::kInconclusive, now);
   BOOST_TEST(steering.takeResets().empty());
   BOOST_TEST((backendOf(send(1, backend, 1, 100)) == backend));
 }
@@ -175,12 +175,12 @@
   send(2, silent, 1, 10);
   now += core::kAnswerLate - 1ms;
   steering.onTick(now);
-  BOOST_TEST(outliers.GetCounters().LateAnswers == 0U);
+  BOOST_TEST(outliers.GetCounters().LateResponses == 0U);
   now += 2s;
   steering.onTick(now);
   now += 2s;
   steering.onTick(now);
-  BOOST_TEST(outliers.GetCounters().LateAnswers == 1U);
+  BOOST_TEST(outliers.GetCounters().LateResponses == 1U);
   const core::OutlierReport report = outliers.TakeReport();
   BOOST_REQUIRE(report.observations.size() == 1U);
   BOOST_TEST((report.observations[0].backend == silent));
@@ -194,7 +194,7 @@
   now += 5s;
   steering.onResume();
   steering.onTick(now);
-  BOOST_TEST(outliers.GetCounters().LateAnswers == 0U);
+  BOOST_TEST(outliers.GetCounters().LateResponses == 0U);
 }
 
 // While the store was down, each of 98 daemons found out by itself, by losing openings, which back
@@ -203,7 +203,7 @@
   core::OutlierDetector outliers(1);
   steering.setOutliers(&outliers);
   for (int i = 0; i < 10; ++i) {
-    outliers.OnAnswered();
+    outliers.OnResponse();
   }
   const BackendId backend = backendOf(open(1));
   now += core::kAnswerPatience + 1ms;
--- a/tests/core/reach/reach_steering_test.cc
+++ b/tests/core/tokens/address_token_steering_test.cc
@@ -12,7 +12,7 @@
 using core::RefuseReason;
 using core::RouteReason;
 
-core::TokenSteeringOptions ReachingOptions()
+core::TokenSteeringOptions AddressTokenOptions()
 {
   core::TokenSteeringOptions options;
   options.home = endpoint(1, 200, 0).address;
@@ -21,26 +21,26 @@
 
 /// A daemon whose tokens hold addresses, and one that has just started and
 /// has no view.
-struct ReachFixture
+struct AddressTokenFixture
 {
   sim::SeededRandom Random{ 1 };
   core::EqualWeights Weights;
-  core::TokenSteering Steering{ ReachingOptions(), Weights, Random };
-  core::TokenSteering Blind{ ReachingOptions(), Weights, Random };
+  core::TokenSteering Steering{ AddressTokenOptions(), Weights, Random };
+  core::TokenSteering WithoutView{ AddressTokenOptions(), Weights, Random };
   core::Time Now = 100s;
   core::Revision Revision = 0;
 
-  ReachFixture()
+  AddressTokenFixture()
   {
     this->Steering.routes().offer(makeRoutes(1, { { 1, "web" } }), this->Now);
     for (std::uint8_t host = 1; host <= 6; ++host) {
-      this->Put(this->Steering, makeRegistration(host, "web", 1, host));
+      this->PutBackend(this->Steering, makeRegistration(host, "web", 1, host));
     }
     this->Steering.setViewState(true, true);
   }
 
-  void Put(core::TokenSteering& steering,
-           const core::Registration& registration)
+  void PutBackend(core::TokenSteering& steering,
+                  const core::Registration& registration)
   {
     const auto id = static_cast<std::uint64_t>(registration.id);
     steering.backends().put(
@@ -49,7 +49,7 @@
 
   /// Open a flow.
   /// \return how the opening went on.
-  core::ForwardToBackend Open(std::uint16_t port)
+  core::ForwardToBackend OpenFlow(std::uint16_t port)
   {
     this->Now += 100ms;
     const core::Verdict verdict = this->Steering.onPacket(
@@ -58,10 +58,10 @@
     return std::get<core::ForwardToBackend>(verdict);
   }
 
-  core::Verdict Send(core::TokenSteering& steering,
-                     std::uint16_t port,
-                     core::SteeringToken token,
-                     std::uint32_t acknowledgement = 1)
+  core::Verdict SendPacket(core::TokenSteering& steering,
+                           std::uint16_t port,
+                           core::SteeringToken token,
+                           std::uint32_t acknowledgement = 1)
   {
     core::PacketSummary summary =
       TokenFixture::packet(port, core::PacketKind::kContinuing);
@@ -73,12 +73,12 @@
   }
 
   /// Show the blind daemon tokens of enough hosts.
-  void TellPort()
+  void InferPort()
   {
     for (std::uint8_t host = 1; host <= core::kHostsForPort; ++host) {
-      this->Send(this->Blind, host, this->TokenOfHost(host));
+      this->SendPacket(this->WithoutView, host, this->TokenOfHost(host));
     }
-    BOOST_REQUIRE((this->Blind.takeFoundPort() == 8000));
+    BOOST_REQUIRE((this->WithoutView.takeFoundPort() == 8000));
   }
 
   core::SteeringToken TokenOfHost(std::uint8_t host) const
@@ -88,16 +88,17 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(ReachSteeringTest, ReachFixture)
+BOOST_FIXTURE_TEST_SUITE(AddressTokenSteeringTest, AddressTokenFixture)
 
 // After a total loss of power with the store away all packets of open flows
 // were dropped, though their back ends lived (lantern-archive, a hunt day:
 // 2,052 packets in two seconds).
-BOOST_AUTO_TEST_CASE(a_daemon_without_any_view_sends_open_flows_on)
+BOOST_AUTO_TEST_CASE(daemon_without_view_forwards_open_flows)
 {
-  const core::ForwardToBackend opened = this->Open(1);
-  this->TellPort();
-  const core::Verdict verdict = this->Send(this->Blind, 1, opened.token);
+  const core::ForwardToBackend opened = this->OpenFlow(1);
+  this->InferPort();
+  const core::Verdict verdict =
+    this->SendPacket(this->WithoutView, 1, opened.token);
   const auto* forward = std::get_if<core::ForwardToBackend>(&verdict);
   BOOST_REQUIRE(forward != nullptr);
   BOOST_TEST((forward->backend.endpoint == opened.backend.endpoint));
@@ -105,46 +106,47 @@
   BOOST_TEST((forward->reason == RouteReason::kReached));
 }
 
-BOOST_AUTO_TEST_CASE(
-  a_daemon_without_any_view_opens_refuses_and_resets_nothing)
+BOOST_AUTO_TEST_CASE(daemon_without_view_neither_opens_nor_resets_flows)
 {
-  this->TellPort();
-  const core::Verdict opening = this->Blind.onPacket(
+  this->InferPort();
+  const core::Verdict opening = this->WithoutView.onPacket(
     TokenFixture::packet(9, core::PacketKind::kOpening), this->Now);
   BOOST_TEST((TokenFixture::dropOf(opening) == DropReason::kNoConfiguration));
-  BOOST_TEST(this->Blind.takeResets().empty());
-  BOOST_TEST(this->Blind.takeProbes(this->Now + 10s).empty());
+  BOOST_TEST(this->WithoutView.takeResets().empty());
+  BOOST_TEST(this->WithoutView.takeProbes(this->Now + 10s).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_flow_whose_registration_lapsed_before_the_view_goes_on)
+BOOST_AUTO_TEST_CASE(flow_of_expired_registration_is_forwarded)
 {
-  const core::ForwardToBackend opened = this->Open(1);
-  this->Put(this->Blind, makeRegistration(50, "web", 1, 50));
-  this->Blind.routes().offer(makeRoutes(1, { { 1, "web" } }), this->Now);
-  this->Blind.setViewState(true, true);
-  const core::Verdict verdict = this->Send(this->Blind, 1, opened.token);
+  const core::ForwardToBackend opened = this->OpenFlow(1);
+  this->PutBackend(this->WithoutView, makeRegistration(50, "web", 1, 50));
+  this->WithoutView.routes().offer(makeRoutes(1, { { 1, "web" } }), this->Now);
+  this->WithoutView.setViewState(true, true);
+  const core::Verdict verdict =
+    this->SendPacket(this->WithoutView, 1, opened.token);
   BOOST_TEST((TokenFixture::ruleOf(verdict) == RouteReason::kReached));
 }
 
-BOOST_AUTO_TEST_CASE(flows_of_a_dropped_route_are_reset_whatever_their_token)
+BOOST_AUTO_TEST_CASE(flows_of_a_dropped_route_are_reset)
 {
-  const core::ForwardToBackend opened = this->Open(1);
-  this->Put(this->Blind, makeRegistration(50, "web", 1, 50));
-  this->Blind.routes().offer(makeRoutes(1, { { 1, "web" } }), this->Now);
-  this->Blind.routes().offer(makeRoutes(2, { { 2, "web" } }), this->Now);
-  this->Blind.setViewState(true, true);
-  const core::Verdict verdict = this->Send(this->Blind, 1, opened.token);
+  const core::ForwardToBackend opened = this->OpenFlow(1);
+  this->PutBackend(this->WithoutView, makeRegistration(50, "web", 1, 50));
+  this->WithoutView.routes().offer(makeRoutes(1, { { 1, "web" } }), this->Now);
+  this->WithoutView.routes().offer(makeRoutes(2, { { 2, "web" } }), this->Now);
+  this->WithoutView.setViewState(true, true);
+  const core::Verdict verdict =
+    this->SendPacket(this->WithoutView, 1, opened.token);
   BOOST_TEST(
     (TokenFixture::refusalOf(verdict) == RefuseReason::kRouteDropped));
 }
 
-BOOST_AUTO_TEST_CASE(both_forms_of_a_token_reach_a_known_back_end)
+BOOST_AUTO_TEST_CASE(address_and_hash_tokens_route_to_a_known_backend)
 {
-  const BackendId third{ 3 };
+  const BackendId backendId{ 3 };
   const core::Verdict byAddress =
-    this->Send(this->Steering, 1, this->TokenOfHost(3));
+    this->SendPacket(this->Steering, 1, this->TokenOfHost(3));
   const core::Verdict byHash =
-    this->Send(this->Steering, 2, core::HashTokenOf(third));
+    this->SendPacket(this->Steering, 2, core::HashTokenOf(backendId));
   const core::Endpoint expected = endpoint(1, 3, 8000);
   for (const core::Verdict& verdict : { byAddress, byHash }) {
     const auto& forward = std::get<core::ForwardToBackend>(verdict);
@@ -155,27 +157,27 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_back_end_at_another_network_keeps_the_hash)
+BOOST_AUTO_TEST_CASE(backend_in_another_network_uses_a_hash_token)
 {
-  core::Registration far = makeRegistration(70, "web", 1, 1);
-  far.endpoint.address.bytes[0] = 172;
-  this->Put(this->Steering, far);
+  core::Registration otherNetwork = makeRegistration(70, "web", 1, 1);
+  otherNetwork.endpoint.address.bytes[0] = 172;
+  this->PutBackend(this->Steering, otherNetwork);
   const auto* backend = this->Steering.backends().find(BackendId{ 70 });
   BOOST_TEST((this->Steering.backends().tokenFor(*backend) ==
               core::HashTokenOf(BackendId{ 70 })));
   const core::Verdict verdict =
-    this->Send(this->Steering, 1, core::HashTokenOf(BackendId{ 70 }));
+    this->SendPacket(this->Steering, 1, core::HashTokenOf(BackendId{ 70 }));
   BOOST_TEST((TokenFixture::backendOf(verdict) == BackendId{ 70 }));
 }
 
-BOOST_AUTO_TEST_CASE(a_reused_address_is_the_last_back_ends)
+BOOST_AUTO_TEST_CASE(reused_address_belongs_to_the_latest_backend)
 {
   const core::SteeringToken token = this->TokenOfHost(2);
   this->Steering.backends().remove(
     TokenFixture::keyOf(2), ++this->Revision, this->Now);
   BOOST_TEST(
     (this->Steering.backends().findByToken(token)->id == BackendId{ 2 }));
-  this->Put(this->Steering, makeRegistration(60, "web", 1, 2));
+  this->PutBackend(this->Steering, makeRegistration(60, "web", 1, 2));
   BOOST_TEST(
     (this->Steering.backends().findByToken(token)->id == BackendId{ 60 }));
   // The later one takes flows: the earlier one does not keep its token.
@@ -183,30 +185,30 @@
   BOOST_TEST(!this->Steering.backends().takesNewFlows(BackendId{ 2 }));
 }
 
-BOOST_AUTO_TEST_CASE(two_back_ends_of_one_host_with_one_token_use_the_hash)
+BOOST_AUTO_TEST_CASE(colliding_address_tokens_on_one_host_use_hashes)
 {
-  const auto& codec = core::AddressTokenCodec(*ReachingOptions().home,
-                                              ReachingOptions().hashSeed);
+  const auto& codec = core::AddressTokenCodec(*AddressTokenOptions().home,
+                                              AddressTokenOptions().hashSeed);
   const core::PortCheck check = codec.GetPortCheck(this->TokenOfHost(1));
   std::uint16_t port = 8001;
-  while (!check.Fits(port)) {
+  while (!check.Matches(port)) {
     ++port;
   }
   const core::SteeringToken shared = this->TokenOfHost(1);
-  core::Registration twin = makeRegistration(80, "web", 1, 1);
-  twin.endpoint.port = port;
-  this->Put(this->Steering, twin);
+  core::Registration colliding = makeRegistration(80, "web", 1, 1);
+  colliding.endpoint.port = port;
+  this->PutBackend(this->Steering, colliding);
   for (const BackendId id : { BackendId{ 1 }, BackendId{ 80 } }) {
     const auto* backend = this->Steering.backends().find(id);
     BOOST_TEST(
       (this->Steering.backends().tokenFor(*backend) == core::HashTokenOf(id)));
     BOOST_TEST(this->Steering.backends().takesNewFlows(id));
   }
-  const core::Verdict verdict = this->Send(this->Steering, 1, shared);
+  const core::Verdict verdict = this->SendPacket(this->Steering, 1, shared);
   BOOST_TEST((TokenFixture::dropOf(verdict) == DropReason::kUnknownToken));
 }
 
-BOOST_AUTO_TEST_CASE(a_forgotten_back_end_leaves_its_token)
+BOOST_AUTO_TEST_CASE(removed_backend_releases_its_token)
 {
   const core::SteeringToken token = this->TokenOfHost(2);
   this->Steering.backends().remove(
@@ -218,12 +220,12 @@
 // A daemon without a view once opened flows at back ends that answered others
 // of their route. Such flows may be older than a version that took the service
 // from the route: CONFIG was broken on cflc-quotes-grown (trouble-3).
-BOOST_AUTO_TEST_CASE(answers_alone_open_no_flow)
+BOOST_AUTO_TEST_CASE(responses_without_view_open_no_flow)
 {
-  this->TellPort();
-  this->Send(this->Blind, 1, this->TokenOfHost(2), 1);
-  this->Send(this->Blind, 1, this->TokenOfHost(2), 2);
-  const core::Verdict opening = this->Blind.onPacket(
+  this->InferPort();
+  this->SendPacket(this->WithoutView, 1, this->TokenOfHost(2), 1);
+  this->SendPacket(this->WithoutView, 1, this->TokenOfHost(2), 2);
+  const core::Verdict opening = this->WithoutView.onPacket(
     TokenFixture::packet(9, core::PacketKind::kOpening), this->Now);
   BOOST_TEST((TokenFixture::dropOf(opening) == DropReason::kNoConfiguration));
 }
--- a/tests/core/reach/token_index_test.cc
+++ b/tests/core/tokens/token_index_test.cc
@@ -1,4 +1,4 @@
-#include "core/reach/token_index.h"
+#include "core/tokens/token_index.h"
 
 #include <boost/test/unit_test.hpp>
 #include <map>
@@ -12,19 +12,20 @@
 
 struct TokenIndexFixture
 {
-  core::TokenReach Reach{ core::AddressTokenCodec(endpoint(1, 1, 1).address,
-                                                  7) };
-  core::TokenIndex Index{ &this->Reach };
+  core::TokenResolver Resolver{
+    core::AddressTokenCodec(endpoint(1, 1, 1).address, 7)
+  };
+  core::TokenIndex Index{ &this->Resolver };
 
   core::SteeringToken AddressToken(const core::Endpoint& address) const
   {
-    return *this->Reach.GetCodec().Encode(address);
+    return *this->Resolver.GetCodec().Encode(address);
   }
 };
 
 BOOST_FIXTURE_TEST_SUITE(TokenIndexTest, TokenIndexFixture)
 
-BOOST_AUTO_TEST_CASE(both_forms_find_a_back_end)
+BOOST_AUTO_TEST_CASE(address_and_hash_tokens_find_the_backend)
 {
   const core::Endpoint address = endpoint(2, 3, 8080);
   this->Index.AddBackend(BackendId{ 5 });
@@ -38,7 +39,7 @@
   BOOST_TEST((std::get<BackendId>(*byHash) == BackendId{ 5 }));
 }
 
-BOOST_AUTO_TEST_CASE(without_addresses_tokens_are_hashes)
+BOOST_AUTO_TEST_CASE(tokens_are_hashes_without_a_resolver)
 {
   core::TokenIndex hashes(nullptr);
   const core::Endpoint address = endpoint(2, 3, 8080);
@@ -49,7 +50,7 @@
 }
 
 // Of the ports of one host about one pair in 256 shares a token.
-BOOST_AUTO_TEST_CASE(two_addresses_with_one_token_use_hashes_until_one_goes)
+BOOST_AUTO_TEST_CASE(colliding_address_tokens_are_replaced_by_hashes)
 {
   std::map<core::SteeringToken, core::Endpoint> seen;
   core::Endpoint first;
@@ -64,18 +65,18 @@
   BOOST_TEST(!this->Index.Find(shared).has_value());
   BOOST_TEST((this->Index.GetToken(BackendId{ 5 }, first) ==
               core::HashTokenOf(BackendId{ 5 })));
-  this->Index.ForgetAddress(second);
+  this->Index.RemoveAddress(second);
   BOOST_TEST((std::get<core::Endpoint>(*this->Index.Find(shared)) == first));
 }
 
-BOOST_AUTO_TEST_CASE(what_was_forgotten_is_not_found)
+BOOST_AUTO_TEST_CASE(removed_backends_and_addresses_are_not_found)
 {
   const core::Endpoint address = endpoint(2, 3, 8080);
   this->Index.AddBackend(BackendId{ 5 });
   this->Index.AddAddress(address);
   BOOST_TEST(this->Index.OwnsHash(BackendId{ 5 }));
-  this->Index.ForgetBackend(BackendId{ 5 });
-  this->Index.ForgetAddress(address);
+  this->Index.RemoveBackend(BackendId{ 5 });
+  this->Index.RemoveAddress(address);
   BOOST_TEST(!this->Index.OwnsHash(BackendId{ 5 }));
   BOOST_TEST(!this->Index.Find(this->AddressToken(address)).has_value());
   BOOST_TEST(!this->Index.Find(core::HashTokenOf(BackendId{ 5 })).has_value());
--- a/tests/core/reach/reach_stateful_test.cc
+++ b/tests/core/tokens/token_steering_stateful_test.cc
@@ -5,45 +5,45 @@
 #include <utility>
 #include <vector>
 
-#include "reach_world.h"
+#include "token_steering_model.h"
 
 namespace cobaltgauge::tests {
 namespace {
 
 using Command = std::pair<unsigned, unsigned>;
 
-constexpr int kMostCommands = 400;
+constexpr int kMaxCommands = 400;
 
 rc::Gen<std::vector<Command>> MakeCommands()
 {
   const auto command = rc::gen::resize(
     rc::kNominalSize,
     rc::gen::pair(rc::gen::inRange(0U, 1000U), rc::gen::inRange(0U, 10000U)));
-  return rc::gen::resize(kMostCommands,
+  return rc::gen::resize(kMaxCommands,
                          rc::gen::container<std::vector<Command>>(command));
 }
 
-BOOST_AUTO_TEST_SUITE(ReachStatefulTest)
+BOOST_AUTO_TEST_SUITE(TokenSteeringStatefulTest)
 
-BOOST_AUTO_TEST_CASE(no_sequence_moves_a_flow_or_opens_one_at_a_stranger)
+BOOST_AUTO_TEST_CASE(random_commands_keep_flows_and_their_routes)
 {
   std::size_t opened = 0;
-  std::size_t reached = 0;
-  const bool isKept = rc::check("flows stay, openings are the route's", [&] {
-    ReachWorld world;
+  std::size_t resolved = 0;
+  const bool holds = rc::check("flows stay, openings are the route's", [&] {
+    TokenSteeringModel model;
     for (const auto& [command, choice] : *MakeCommands()) {
-      world.Do(command, choice);
-      if (!world.Broken.empty()) {
-        RC_FAIL(world.Broken.front());
+      model.Execute(command, choice);
+      if (!model.Violations.empty()) {
+        RC_FAIL(model.Violations.front());
       }
     }
-    opened += world.Opened;
-    reached += world.Reached;
+    opened += model.Opened;
+    resolved += model.Resolved;
   });
-  BOOST_TEST(isKept);
+  BOOST_TEST(holds);
   // The sequences reach what they are about.
   BOOST_TEST(opened > 1000U);
-  BOOST_TEST(reached > 100U);
+  BOOST_TEST(resolved > 100U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/daemon/backend_prober_test.cc
+++ b/tests/daemon/backend_prober_test.cc
@@ -55,7 +55,7 @@
     backend.endpoint = suspect.endpoint();
     prober.probe(backend, std::move(witnesses));
     context.run();
-    return result.value_or(ProbeResult::kUnproven);
+    return result.value_or(ProbeResult::kInconclusive);
   }
 };
 
@@ -84,7 +84,7 @@
 BOOST_AUTO_TEST_CASE(where_the_witness_is_silent_too_nothing_is_proven) {
   suspect.fill(context);
   witness.fill(context);
-  BOOST_TEST((probe({witness.endpoint()}) == ProbeResult::kUnproven));
+  BOOST_TEST((probe({witness.endpoint()}) == ProbeResult::kInconclusive));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
