--- a/src/core/outlier/outlier_detector.cc
+++ b/src/core/outlier/outlier_detector.cc
@@ -23,7 +23,7 @@
 {
   ++this->LateCount;
   ++this->Counters.LateResponses;
-  // Where much is late, this daemon or its links are the likelier cause.
+  // A high share of late responses points to this daemon or its links.
   if (this->IsLocalFaultLikely()) {
     ++this->Counters.Withheld;
     return;
--- a/src/core/outlier/outlier_detector.h
+++ b/src/core/outlier/outlier_detector.h
@@ -1,7 +1,8 @@
 /// @file
-/// Finds back ends that take flows and leave them unanswered while they call
-/// themselves well.  One daemon sees too few flows to tell; all of them
-/// together see enough.  See docs/design/006-outlier-detection.md.
+/// Detects backends that accept flows without responding although they report
+/// themselves as healthy.  A single daemon sees too few flows to detect this,
+/// so the observations of several daemons are combined.  See
+/// docs/design/006-outlier-detection.md.
 #pragma once
 
 #include <cstdint>
@@ -13,55 +14,55 @@
 
 namespace cobaltgauge::core {
 
-/// Counters of an OutlierDetector; see docs/METRICS.md.
+/// Counters of OutlierDetector; see docs/METRICS.md.
 struct OutlierCounters
 {
   std::uint64_t LateResponses = 0;
-  std::uint64_t Withheld = 0; ///< Late answers blamed on this daemon itself.
-  std::uint64_t Detected = 0; ///< Verdicts of this daemon.
+  std::uint64_t Withheld = 0; ///< Not reported; a local fault is likely.
+  std::uint64_t Detected = 0; ///< Outliers detected by this daemon.
 };
 
 /** \class OutlierDetector
- * \brief Collect late answers, and decide or adopt which back ends are out.
+ * \brief Detects outlier backends from the late responses at several daemons.
  *
- * Observations go to the seeds, whom every daemon knows; each seed decides,
- * and its list travels back with the view.  An outlier only comes last when a
- * new flow is placed; its open flows stay.
+ * Daemons report their observations to the seeds.  Each seed detects outliers
+ * and distributes the list with the view.  Outliers are deprioritized for new
+ * flows; their open flows stay.
  */
 class OutlierDetector
 {
 public:
-  /// \param reporter tells this daemon's observations from others'.
+  /// \param reporter identifies this daemon in its reports.
   explicit OutlierDetector(std::uint64_t reporter)
     : Reporter(reporter)
   {
   }
 
-  /// A back end answered a caller of this daemon.
+  /// Record a response to a client of this daemon.
   void OnResponse() { ++this->Responses; }
 
-  /// A back end left a caller of this daemon unanswered for kAnswerLate, or
-  /// was silent and did not answer a probe either.
+  /// Record that a backend did not respond to a client within the late
+  /// response threshold, or that a probe found it dead.
   void OnLateResponse(BackendId backend);
 
-  /// Take what this daemon has observed since, for those that decide.
+  /// Get the observations since the last call, to be sent to the seeds.
   OutlierReport TakeReport();
 
-  /// Take observations, where this daemon decides for others.
-  /// \return the back ends that have become outliers by them.
+  /// Process the observations of a daemon; called on seeds.
+  /// \return the backends that became outliers.
   std::vector<BackendId> ProcessReport(const OutlierReport& report, Time now);
 
-  /// Take the list of the daemon that decides.
+  /// Replace the outliers with the list received from a seed.
   void SetOutliers(const std::vector<BackendId>& outliers, Time now);
 
-  /// Forget a back end that has started anew.
+  /// Remove all state of a backend that restarted.
   void Remove(BackendId backend)
   {
     this->EvidenceByBackend.erase(backend);
     this->Outliers.erase(backend);
   }
 
-  /// Forget outliers without recent evidence or news.
+  /// Remove outliers that were not confirmed recently.
   void Expire(Time now);
 
   bool IsOutlier(BackendId backend) const
@@ -71,7 +72,7 @@
 
   std::size_t CountOutliers() const { return this->Outliers.size(); }
 
-  /// Get the outliers, as they are told to other daemons.
+  /// Get the list to be distributed to other daemons, limited in length.
   std::vector<BackendId> GetOutliers() const;
 
   const OutlierCounters& GetCounters() const { return this->Counters; }
@@ -79,7 +80,8 @@
 private:
   struct Evidence
   {
-    std::map<std::uint64_t, Time> LatestByReporter; ///< Latest by reporter.
+    /// Time of the last observation.
+    std::map<std::uint64_t, Time> LatestByReporter;
 
     void RemoveBefore(Time before);
   };
@@ -89,8 +91,8 @@
   std::uint64_t Reporter;
   std::vector<OutlierObservation> PendingObservations;
   std::map<BackendId, Evidence> EvidenceByBackend;
-  std::map<BackendId, Time> Outliers; ///< With the end of the verdict.
-  /// Of the present and the last period of kOutlierEvidence.
+  std::map<BackendId, Time> Outliers; ///< With their expiry times.
+  // Counts of the current and the previous evidence period.
   std::uint64_t Responses = 0;
   std::uint64_t PreviousResponses = 0;
   std::uint64_t LateCount = 0;
--- a/src/core/outlier/response_deadlines.h
+++ b/src/core/outlier/response_deadlines.h
@@ -1,6 +1,6 @@
 /// @file
-/// Remembers when answers to callers' data are due, so that a back end that
-/// takes flows and data and says nothing is noticed.
+/// Deadlines of the responses to client data, to detect backends that accept
+/// data without responding.
 #pragma once
 
 #include <cstdint>
@@ -11,28 +11,30 @@
 
 namespace cobaltgauge::core {
 
-/** \class AnswerDeadlines
- * \brief A bounded queue of expected answers, the earliest first.
+/** \class ResponseDeadlines
+ * \brief A bounded queue of expected responses, ordered by deadline.
  *
- * Every answer is given the same time, so the queue is in order by itself.
+ * All responses have the same timeout, so appending keeps the order.
  */
 class ResponseDeadlines
 {
 public:
-  /// An answer that was expected by now.
+  /// A response that is expected by its deadline.
   struct PendingResponse
   {
     FlowFingerprint Flow{ 0 };
-    std::uint32_t DataEnd = 0; ///< Sequence number after the caller's data.
+    std::uint32_t DataEnd = 0; ///< Sequence number after the client's data.
     Time Deadline{};
   };
 
+  /// Add an expected response.  Ignored if the queue is full.
   void Add(FlowFingerprint flow, std::uint32_t dataEnd, Time now);
 
-  /// Take what is due, answered or not; the caller knows which.
+  /// Remove and return the responses whose deadline has passed, including
+  /// those that have arrived.
   std::vector<PendingResponse> TakeDue(Time now);
 
-  /// Forget everything; for a process that was suspended.
+  /// Remove all deadlines after the process was suspended.
   void Clear() { this->Pending.clear(); }
 
 private:
--- a/src/core/outlier/response_time_tracker.cc
+++ b/src/core/outlier/response_time_tracker.cc
@@ -7,9 +7,9 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Weight of the latest answer in a mean.
+/// Weight of the latest response time in the moving average.
 constexpr double kLatestSampleWeight = 0.3;
-/// How far a sample moves the median, as a share of it.
+/// Relative change of the median estimate for each sample.
 constexpr double kMedianStepRatio = 0.03;
 
 double ToSeconds(Duration duration)
--- a/src/core/outlier/response_time_tracker.h
+++ b/src/core/outlier/response_time_tracker.h
@@ -1,7 +1,6 @@
 /// @file
-/// How long back ends take to answer, as this daemon sees it, so that new
-/// flows go to those that are quick.  See
-/// docs/design/006-outlier-detection.md.
+/// Response times of backends as observed by this daemon, used to place new
+/// flows at faster backends.  See docs/design/006-outlier-detection.md.
 #pragma once
 
 #include <cstdint>
@@ -11,12 +10,12 @@
 
 namespace cobaltgauge::core {
 
-/** \class AnswerTimes
- * \brief Compare a back end's answers with those of its service.
+/** \class ResponseTimeTracker
+ * \brief Compares the response times of a backend with those of its service.
  *
- * A back end counts as slow where its running mean is well above the median
- * of its service.  The median is tracked by small steps, so that a third of
- * the back ends being slow hardly moves it.
+ * A backend is slow if its moving average is well above the median of its
+ * service.  The median is estimated in small steps, so that a minority of slow
+ * backends has little effect on it.
  */
 class ResponseTimeTracker
 {
@@ -26,14 +25,14 @@
                   Duration responseTime,
                   Time now);
 
-  /// Get how many times longer than usual a back end takes.
-  /// \return 1 where it is not slow, or too little was seen of it lately.
+  /// Get the response time of a backend relative to its service's median.
+  /// \return 1 if the backend is not slow or has too few recent responses.
   double GetSlowdown(BackendId backend, ServiceId service, Time now) const;
 
-  /// Forget a back end that has started anew.
+  /// Remove a backend that restarted.
   void Remove(BackendId backend) { this->Means.erase(backend); }
 
-  /// Forget back ends that have not answered for kAnswerTimesMemory.
+  /// Remove backends without recent responses.
   void Expire(Time now);
 
 private:
--- a/src/core/probe/failure_probe.cc
+++ b/src/core/probe/failure_probe.cc
@@ -66,7 +66,7 @@
   if (this->StepCount == 1) {
     return step;
   }
-  // The first round of witnesses says who is worth asking later.
+  // Later rounds only use witnesses that responded in the first one.
   for (std::size_t i = 0; i < this->WitnessCount; ++i) {
     step.ConnectsToWitness[i] =
       this->StepCount == 2 || this->WitnessResponded[1][i];
--- a/src/core/probe/failure_probe.h
+++ b/src/core/probe/failure_probe.h
@@ -1,6 +1,6 @@
 /// @file
-/// Whether a silent back end is dead, from connections to it and, beside them,
-/// to others.  See docs/design/011-failure-domains.md.
+/// Determines whether an unresponsive backend is dead, by connection attempts
+/// to it and to other backends.  See docs/design/011-failure-domains.md.
 #pragma once
 
 #include <array>
@@ -12,108 +12,109 @@
 
 namespace cobaltgauge::core {
 
-/// How a probe of a back end ended.
+/// Result of a probe of a backend.
 enum class ProbeResult : std::uint8_t
 {
-  kConnected, ///< Something listens there.
-  /// The machine answers, nothing listens.  A back end that is about to end as
-  /// planned stops listening before its last flows end, and a machine whose
-  /// back end crashed resets the flows itself: no reason to give flows up.
+  kConnected,
+  /// The host responds, but the port is closed.  Flows are kept: a draining
+  /// backend stops listening before its last flows end, and the host of a
+  /// crashed backend resets the flows itself.
   kRefused,
-  kTimedOut,     ///< No answer to any try, while others answered: it is dead.
-  kInconclusive, ///< No answer, but nobody else answered, or the time was not
-                 ///< kept.
+  kTimedOut,     ///< No response to any attempt while witnesses responded: the
+                 ///< backend is dead.
+  kInconclusive, ///< No response; see InconclusiveReason.
 };
 
 const char* ToString(ProbeResult result);
 
-/// Why a silence proves nothing; for logs.
+/// Why an unanswered probe is inconclusive; for logs.
 enum class InconclusiveReason : std::uint8_t
 {
   kNone,
-  kTimerLate,  ///< A timer was late: this process was held up.
-  kNoWitness,  ///< No witness answered in one of the rounds.
-  kLocalError, ///< A connection failed by this machine's own doing.
+  kTimerLate,  ///< A timer was late, as after a suspension.
+  kNoWitness,  ///< No witness responded in one of the rounds.
+  kLocalError, ///< A connection attempt failed locally.
 };
 
 const char* ToString(InconclusiveReason reason);
 
-/// How one connection of a trial ended.
+/// Outcome of one connection attempt of a probe.
 enum class ConnectOutcome : std::uint8_t
 {
   kConnected,
-  kRefused,    ///< Its machine answered.
-  kLocalError, ///< By this machine's own doing; says nothing.
+  kRefused,    ///< Refused or reset by the remote host.
+  kLocalError, ///< Failed locally; says nothing about the remote host.
 };
 
-/** \class DeathTrial
- * \brief Find a back end dead only where nothing else explains its silence.
+/** \class FailureProbe
+ * \brief Finds a backend dead only if local faults are ruled out.
  *
- * Several connections are begun one after another, so that one lost packet or
- * a queue that was full for a moment proves nothing.  With all but the first
- * others are begun to witnesses, back ends that answered lately: where these
- * stay silent too, this machine or its link is the cause.  A last look takes
- * what had arrived when time was up.  Where that was late, as after a
- * suspension, nothing is proven.
+ * Several connection attempts are made in sequence, to tolerate a lost packet
+ * or a briefly full accept queue.  From the second attempt on, other backends
+ * (witnesses) are connected to as well: if they do not respond either, this
+ * host or its link is faulty.  After the last timeout a grace period lets the
+ * event loop process pending responses.  The probe is inconclusive if a timer
+ * was late, as after a suspension.
  */
 class FailureProbe
 {
 public:
   static constexpr std::size_t kAttempts = 3;
   static constexpr std::size_t kMaxWitnesses = 2;
-  /// Between two tries; a full queue of connections is worked off meanwhile.
+  /// Time between attempts; allows a full accept queue to drain.
   static constexpr Duration kAttemptInterval{ 75'000 };
-  /// How long the last try and its witnesses have; over ten times the longest
-  /// way between regions and back.
+  /// Time to respond to the last attempt; well above inter-region round trips.
   static constexpr Duration kLastAttemptTimeout{ 150'000 };
-  /// Between the end of that and the verdict: a turn of the event loop.
+  /// Time between the last timeout and the evaluation, in which the event loop
+  /// processes responses that have already arrived.
   static constexpr Duration kResultGracePeriod{ 20'000 };
-  /// A timer that is later than this was held up: what arrived meanwhile may
-  /// not have been read.  Twice a scheduler's period of a limited processor.
+  /// Maximum delay of a timer.  If it is exceeded, responses that have arrived
+  /// may not have been processed yet.
   static constexpr Duration kMaxTimerDelay{ 50'000 };
 
-  /// What is to be begun at a step.
+  /// Connection attempts to be started in a step.
   struct Step
   {
     bool ConnectsToSuspect = false;
-    /// By number, which of the witnesses are connected to.
+    /// By index of the witness.
     std::array<bool, kMaxWitnesses> ConnectsToWitness{};
   };
 
-  /// \param witnesses how many there are, kMostWitnesses at most.
+  /// \param witnesses number of witnesses, at most kMaxWitnesses.
   FailureProbe(std::size_t witnesses, Time now);
 
-  /// Get when TakeStep() is to be called next.
+  /// Get the time of the next call to Advance().
   Time GetNextStepTime() const { return this->NextStepTime; }
-  /// Say what is to be begun now.
+  /// Start the next step.
+  /// \return the connection attempts to be made.
   Step Advance(Time now);
 
-  /// Take how a connection to the back end ended.
+  /// Record the outcome of a connection attempt to the suspected backend.
   void OnSuspectResult(ConnectOutcome outcome);
-  /// Take how a connection to a witness ended.
-  /// \param step the number of the step that began it, from 0.
+  /// Record the outcome of a connection attempt to a witness.
+  /// \param step index of the step that started it, from 0.
   void OnWitnessResult(std::size_t witness,
                        std::size_t step,
                        ConnectOutcome outcome);
-  /// Get the number of the step that was taken last.
+  /// Get the index of the latest step, from 0.
   std::size_t GetStepIndex() const { return this->StepCount - 1; }
 
-  /// Get the result, once there is one.
+  /// Get the result, if the probe has finished.
   std::optional<ProbeResult> GetResult() const { return this->Result; }
-  /// Get what is in the way of a proof, where the result is kUnproven.
+  /// Get the reason why the result is kInconclusive.
   InconclusiveReason GetInconclusiveReason() const { return this->Reason; }
 
 private:
   Step StartAttempt(Time now);
   void Evaluate();
-  /// End a silent trial; without a doubt the back end is dead.
+  /// Finish a probe without response.  With kNone the backend is dead.
   void Finish(InconclusiveReason reason);
 
   std::size_t WitnessCount;
   std::size_t StepCount = 0;
   Time NextStepTime;
   bool HasLocalError = false;
-  /// Witnesses that answered, by step.
+  /// By step and witness.
   std::array<std::array<bool, kMaxWitnesses>, kAttempts> WitnessResponded{};
   std::optional<ProbeResult> Result;
   InconclusiveReason Reason = InconclusiveReason::kNone;
--- a/src/core/probe/witness_selection.cc
+++ b/src/core/probe/witness_selection.cc
@@ -9,7 +9,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// The back end heard last of those that were offered.
+/// Keeps the backend with the most recent response.
 class MostRecentResponder
 {
 public:
@@ -35,8 +35,8 @@
   Time RespondedAt{};
 };
 
-/// Back ends that are looked at for missing witnesses: those that are found
-/// already and the suspect may be among them.
+/// Limit of candidates examined for missing witnesses; they may include the
+/// suspect and witnesses that are already selected.
 constexpr std::size_t kMaxSampledCandidates = 8;
 
 } // namespace
--- a/src/core/probe/witness_selection.h
+++ b/src/core/probe/witness_selection.h
@@ -1,6 +1,6 @@
 /// @file
-/// Who is connected to beside a silent back end, to tell its silence from
-/// this machine's own.
+/// Selects the backends that are probed together with an unresponsive one, to
+/// rule out local faults.
 #pragma once
 
 #include <vector>
@@ -11,11 +11,12 @@
 
 namespace cobaltgauge::core {
 
-/// Choose the witnesses of a probe: the back end heard last in the suspect's
-/// zone, which shows that the way there is open, and the one heard last
-/// elsewhere, since a whole zone may be without power.  Where too few were
-/// heard, any of the suspect's service, drawn at random.
-/// \return kMostWitnesses addresses at most, none of them the suspect's.
+/// Select the witnesses of a probe: the backend of the suspect's zone that
+/// responded last, which shows that the zone is reachable, and the one of
+/// another zone, as the whole zone may have failed.  Missing witnesses are
+/// selected at random from the suspect's service.
+/// \return at most FailureProbe::kMaxWitnesses endpoints, none of them at the
+/// suspect's address.
 std::vector<Endpoint> SelectWitnesses(BackendId suspect,
                                       const BackendHealth& health,
                                       BackendRegistry& backends,
--- a/src/core/tokens/address_token.cc
+++ b/src/core/tokens/address_token.cc
@@ -7,7 +7,7 @@
 
 constexpr unsigned kCheckBits = 8;
 constexpr std::uint32_t kCheckMask = (1U << kCheckBits) - 1;
-/// A product's highest bits depend on all bits of both factors.
+/// The high bits of a product depend on all bits of both factors.
 constexpr unsigned kCheckShift = 32 - kCheckBits;
 
 std::uint8_t ComputeCheck(std::uint32_t multiplier, std::uint16_t port)
@@ -35,7 +35,7 @@
 {
   const std::uint64_t address =
     (std::uint64_t{ this->FirstByte } << 24U) | host;
-  // Odd, so that no bit of the port is lost.
+  // Multiplication by an odd number is invertible modulo 2^32.
   return static_cast<std::uint32_t>(mixHash(this->Seed, address)) | 1U;
 }
 
--- a/src/core/tokens/address_token.h
+++ b/src/core/tokens/address_token.h
@@ -1,6 +1,6 @@
 /// @file
-/// Tokens that hold the address of a back end, so that a daemon without any
-/// view can send an open flow's packets on.  See
+/// Tokens that contain the address of a backend, which allow a daemon without
+/// a view to forward packets of open flows.  See
 /// docs/design/007-tokens-that-reach.md.
 #pragma once
 
@@ -12,7 +12,7 @@
 namespace cobaltgauge::core {
 
 /** \class PortCheck
- * \brief What a token says about the port of its back end.
+ * \brief The check of a token for the port of its backend.
  */
 struct PortCheck
 {
@@ -20,43 +20,43 @@
   std::uint32_t Multiplier = 1;
   std::uint8_t Check = 0;
 
-  /// Tell whether a port gives this check; a wrong one does so once in 256.
+  /// Check whether a port matches; a wrong port does with probability 1/256.
   bool Matches(std::uint16_t port) const;
 };
 
 /** \class AddressTokenCodec
- * \brief Write the address of a back end into 32 bits, and read it back.
+ * \brief Encodes and decodes the address of a backend as a 32-bit token.
  *
- * A token holds the last three bytes of an IPv4 address and a check of one
- * byte.  The first byte of the address is this daemon's own.  The port does
- * not fit; the check is a hash of it, so a reader has to know the port, or
- * finds it out from some tokens of different hosts (see PortFinder).
+ * A token contains the last three bytes of an IPv4 address and a check of one
+ * byte, which is a hash of the port.  The first byte of the address is that of
+ * this daemon.  Decoding requires the port, which is either known or inferred
+ * from the tokens of several hosts (see PortFinder).
  */
 class AddressTokenCodec
 {
 public:
-  /// \param home any IPv4 address of this daemon.
-  /// \param seed the same at all daemons of a cluster.
+  /// \param localAddress an IPv4 address of this daemon.
+  /// \param seed identical on all daemons of a cluster.
   AddressTokenCodec(const IpAddress& localAddress, std::uint64_t seed);
 
-  /// Get the token of an address.
-  /// \return nothing where it does not fit: IPv6, or another first byte.
+  /// Get the token of an endpoint.
+  /// \return nothing for IPv6 and addresses with another first byte.
   std::optional<SteeringToken> Encode(const Endpoint& endpoint) const;
 
-  /// Get the address that a token holds, given its port.
-  /// \return nothing where the check does not fit the port.
+  /// Get the endpoint of a token, given its port.
+  /// \return nothing if the check does not match the port.
   std::optional<Endpoint> Decode(SteeringToken token,
                                  std::uint16_t port) const;
 
-  /// Get what a token says about the port.
+  /// Get the check for the port of a token.
   PortCheck GetPortCheck(SteeringToken token) const;
 
 private:
-  /// Get the factor that turns the ports of a host into checks.
+  /// Get the multiplier of the port hash of a host.
   std::uint32_t GetMultiplier(std::uint32_t host) const;
 
   std::uint8_t FirstByte;
-  bool HasIpv4; ///< This daemon has an IPv4 address.
+  bool HasIpv4; ///< The local address is an IPv4 address.
   std::uint64_t Seed;
 };
 
--- a/src/core/tokens/port_finder.cc
+++ b/src/core/tokens/port_finder.cc
@@ -52,7 +52,7 @@
       continue;
     }
     if (found) {
-      return std::nullopt; // The next host will tell which.
+      return std::nullopt; // Ambiguous until another host is added.
     }
     found = candidate;
   }
--- a/src/core/tokens/port_finder.h
+++ b/src/core/tokens/port_finder.h
@@ -1,5 +1,5 @@
 /// @file
-/// Finds the port of the back ends out of the tokens of their open flows.
+/// Infers the port of backends from the tokens of their open flows.
 #pragma once
 
 #include <cstdint>
@@ -12,26 +12,26 @@
 namespace cobaltgauge::core {
 
 /** \class PortFinder
- * \brief Collect tokens of different hosts until only one port explains them.
+ * \brief Collects tokens of several hosts until exactly one port matches.
  *
- * The check of one token fits one port in 256.  Those of kHostsForPort hosts
- * fit a wrong one once in 65,536 times.  Some tokens may be of another form:
- * three quarters of them have to fit.
+ * A wrong port matches the check of a token with probability 1/256, and those
+ * of kHostsForPort hosts with probability 1/65536 for all ports together.
+ * Three quarters of the tokens have to match, as some may be hash tokens.
  */
 class PortFinder
 {
 public:
-  /// \param codec outlives the finder.
+  /// \param codec outlives this object.
   explicit PortFinder(const AddressTokenCodec& codec)
     : Codec(codec)
   {
   }
 
-  /// Take the token of a packet that could not be sent on.
-  /// \return the port, once, when it is found.
+  /// Add the token of a packet that could not be forwarded.
+  /// \return the port, if the collected tokens determine it.
   std::optional<std::uint16_t> Observe(SteeringToken token);
 
-  /// Forget what was collected.
+  /// Remove the collected tokens.
   void Clear() { this->Checks.clear(); }
 
 private:
@@ -39,7 +39,7 @@
   std::optional<std::uint16_t> FindPort() const;
 
   const AddressTokenCodec& Codec;
-  std::vector<PortCheck> Checks; ///< Each of another host.
+  std::vector<PortCheck> Checks; ///< One for each host.
 };
 
 } // namespace cobaltgauge::core
--- a/src/core/tokens/token_index.cc
+++ b/src/core/tokens/token_index.cc
@@ -5,7 +5,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Any constant; keeps tokens apart from other uses of the same hash.
+/// Separates hash tokens from other uses of the same hash function.
 constexpr std::uint64_t kTokenSalt = 0x746f6b656eULL;
 
 } // namespace
--- a/src/core/tokens/token_index.h
+++ b/src/core/tokens/token_index.h
@@ -1,5 +1,5 @@
 /// @file
-/// Which back end a token names, of those that are registered.  See
+/// Index of registered backends by token.  See
 /// docs/design/007-tokens-that-reach.md.
 #pragma once
 
@@ -13,22 +13,21 @@
 
 namespace cobaltgauge::core {
 
-/// Get the token of a back end whose address does not fit into one: a hash of
-/// its id, equal at every daemon; never kNoToken.
+/// Get the token of a backend whose address cannot be encoded: a hash of its
+/// id, identical on all daemons and never kNoToken.
 SteeringToken HashTokenOf(BackendId id);
 
 /** \class TokenIndex
- * \brief Find registered back ends by either form of their token.
+ * \brief Finds registered backends by address token or hash token.
  *
- * A token holds an address, or is a hash of an id.  Where two addresses share
- * a token, neither uses it; of two ids with one hash the one that came first
- * keeps it.
+ * An address token shared by two addresses is used by neither of them.  A hash
+ * token shared by two ids belongs to the one added first.
  */
 class TokenIndex
 {
 public:
-  /// \param reach writes addresses into tokens and is told their ports;
-  /// outlives the index.  Null: tokens are hashes.
+  /// \param resolver encodes addresses and receives their ports; outlives the
+  /// index.  If null, all tokens are hashes.
   explicit TokenIndex(TokenResolver* resolver)
     : Resolver(resolver)
   {
@@ -36,28 +35,28 @@
 
   void AddBackend(BackendId id);
   void RemoveBackend(BackendId id);
-  /// Tell whether the hash of an id is this back end's.
+  /// Check whether the hash token of a backend belongs to it.
   bool OwnsHash(BackendId id) const;
 
-  /// Note an address at which a back end is registered.
+  /// Add the address of a registered backend.
   void AddAddress(const Endpoint& endpoint);
   void RemoveAddress(const Endpoint& endpoint);
 
-  /// What a token names.
+  /// The address or backend that a token identifies.
   using Target = std::variant<Endpoint, BackendId>;
-  /// \return nothing where the token is unknown or two addresses share it.
+  /// \return nothing if the token is unknown or shared by two addresses.
   std::optional<Target> Find(SteeringToken token) const;
 
-  /// Get the token to be written into packets of a back end.
+  /// Get the token for the packets of a backend.
   SteeringToken GetToken(BackendId id, const Endpoint& endpoint) const;
 
 private:
   std::optional<SteeringToken> Encode(const Endpoint& endpoint) const;
-  /// Get the only address with a token; null where there is none or more.
+  /// Get the address of a token; null if there is none or more than one.
   const Endpoint* FindUniqueAddress(SteeringToken token) const;
 
   TokenResolver* Resolver;
-  std::unordered_map<SteeringToken, BackendId> Ids; ///< By hash.
+  std::unordered_map<SteeringToken, BackendId> Ids; ///< By hash token.
   std::unordered_map<SteeringToken, std::set<Endpoint>> Addresses;
 };
 
--- a/src/core/tokens/token_resolver.cc
+++ b/src/core/tokens/token_resolver.cc
@@ -39,7 +39,7 @@
   for (const std::uint16_t port : this->Ports) {
     const std::optional<Endpoint> decoded = this->Codec.Decode(token, port);
     if (decoded && found) {
-      return std::nullopt; // Two ports fit; either may be wrong.
+      return std::nullopt; // Ambiguous: two ports match.
     }
     found = decoded ? decoded : found;
   }
--- a/src/core/tokens/token_resolver.h
+++ b/src/core/tokens/token_resolver.h
@@ -1,5 +1,5 @@
 /// @file
-/// Where packets of open flows go whose back end is in no view.
+/// Resolves tokens of backends that are not in the view.
 #pragma once
 
 #include <cstdint>
@@ -12,11 +12,11 @@
 
 namespace cobaltgauge::core {
 
-/** \class TokenReach
- * \brief Turn tokens into addresses without a view.
+/** \class TokenResolver
+ * \brief Resolves tokens to endpoints without a view.
  *
- * Ports of back ends come from registrations that were seen, or out of the
- * tokens themselves.
+ * The ports of backends are known from earlier registrations or inferred from
+ * the tokens.
  */
 class TokenResolver
 {
@@ -31,15 +31,16 @@
 
   const AddressTokenCodec& GetCodec() const { return this->Codec; }
 
-  /// Note the port of a registered back end.
+  /// Add the port of a registered backend.
   void AddPort(std::uint16_t port);
 
-  /// Take the token of a packet that no view can place.
-  /// \return its address; nothing where it is not known or not certain.
+  /// Resolve a token that is not in the view.  Unresolved tokens are used to
+  /// infer the port.
+  /// \return nothing if no known port matches or several do.
   std::optional<Endpoint> Resolve(SteeringToken token);
 
-  /// Tell, once, that a port was found out: tokens that could not be resolved
-  /// may be so now.
+  /// Get the port inferred since the last call, if any.  Tokens that could not
+  /// be resolved before may now be resolvable.
   std::optional<std::uint16_t> TakeFoundPort();
 
 private:
@@ -47,7 +48,7 @@
 
   AddressTokenCodec Codec;
   PortFinder Finder;
-  std::vector<std::uint16_t> Ports; ///< The latest last.
+  std::vector<std::uint16_t> Ports; ///< Oldest first.
   std::optional<std::uint16_t> FoundPort;
 };
 
--- a/tests/core/outlier/outlier_detector_test.cc
+++ b/tests/core/outlier/outlier_detector_test.cc
@@ -16,7 +16,8 @@
 constexpr BackendId kUnresponsive{ 7 };
 constexpr BackendId kOther{ 8 };
 
-/// A daemon that decides, with one whose answers go well in front of it.
+/// A daemon that detects outliers and one that reports to it, both with many
+/// responses in time.
 struct DetectorFixture
 {
   OutlierDetector Authority{ 1 };
@@ -39,9 +40,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(OutlierDetectorTest, DetectorFixture)
 
-// Thirteen of 120 back ends said they were well and left every caller without
-// an answer; no daemon saw more than a flow or two of each (cflc-quotes-grown,
-// trouble-1).
+// Unresponsive backends must be detected even if each daemon sees only one or
+// two of their flows.
 BOOST_AUTO_TEST_CASE(late_responses_at_two_daemons_make_an_outlier)
 {
   this->Follower.OnLateResponse(kUnresponsive);
@@ -102,7 +102,7 @@
   BOOST_TEST(this->Follower.IsOutlier(kOther));
 }
 
-// A daemon on a lossy link sees late answers of all back ends.
+// A daemon on a lossy link sees late responses of all backends.
 BOOST_AUTO_TEST_CASE(daemon_with_mostly_late_responses_withholds_reports)
 {
   OutlierDetector lossy{ 3 };
--- a/tests/core/outlier/response_time_tracker_test.cc
+++ b/tests/core/outlier/response_time_tracker_test.cc
@@ -10,7 +10,7 @@
 using core::BackendId;
 using namespace std::chrono_literals;
 
-/// Ten back ends of one service that answer in turn.
+/// Ten backends of one service that respond in turn.
 struct ResponseTimeTrackerFixture
 {
   static constexpr std::uint64_t kBackends = 10;
@@ -19,7 +19,7 @@
   core::ServiceId Service{ 1 };
   core::Time Now = 100s;
 
-  /// The first `slow` back ends take four times as long.
+  /// Record responses; the first `slow` backends take four times as long.
   void RecordResponses(std::uint64_t slow, int rounds)
   {
     for (int round = 0; round < rounds; ++round) {
--- a/tests/core/probe/failure_probe_property_test.cc
+++ b/tests/core/probe/failure_probe_property_test.cc
@@ -16,7 +16,7 @@
 using core::ProbeResult;
 using core::Time;
 
-/// A span of a trial, in milliseconds.
+/// A half-open range of time, in milliseconds.
 struct TimeRange
 {
   int Begin = 0;
@@ -49,18 +49,18 @@
     });
 }
 
-/// This daemon's side of a trial, of a back end and witnesses that all accept
-/// connections, with a link that breaks and a process that stands still.
+/// Simulates a probe of a backend that accepts connections, with failures of
+/// the local link and pauses of the local process.
 class ProbeSimulation
 {
 public:
-  std::vector<TimeRange>
-    LinkFailures; ///< Of the link: packets are lost both ways.
-  std::vector<TimeRange>
-    LinkDelays; ///< Of the link: packets wait until their end.
-  std::vector<TimeRange> ProcessPauses; ///< Of the process.
-  TimeRange FullAcceptQueue;            ///< Of the back end's connections.
-  std::size_t LostAttempt = FailureProbe::kAttempts; ///< By one lost packet.
+  /// Packets are lost in both directions.
+  std::vector<TimeRange> LinkFailures;
+  /// Packets wait until the range ends.
+  std::vector<TimeRange> LinkDelays;
+  std::vector<TimeRange> ProcessPauses;
+  TimeRange FullAcceptQueue;                         ///< Of the backend.
+  std::size_t LostAttempt = FailureProbe::kAttempts; ///< Its packet is lost.
   Duration RoundTrip{ 0 };
 
   ProbeResult Run()
@@ -83,11 +83,11 @@
   {
     Time At;
     std::size_t Step;
-    int Witness; ///< Negative: it is the suspect's.
+    int Witness; ///< Negative for the suspect.
     bool operator<(const Response& other) const { return this->At > other.At; }
   };
 
-  /// Get when the process runs again.
+  /// Get the time at which the process runs again.
   Time GetResumeTime(Time at) const
   {
     while (AnyContains(this->ProcessPauses, at)) {
@@ -131,7 +131,7 @@
     }
   }
 
-  /// A loop reads what has arrived before it looks at its timers.
+  /// Deliver pending responses first, as the event loop does before timers.
   void DeliverBefore(FailureProbe& probe, Time now)
   {
     while (!this->Responses.empty() && this->Responses.top().At <= now) {
@@ -165,26 +165,29 @@
 BOOST_AUTO_TEST_CASE(
   local_faults_and_one_lost_packet_never_report_a_live_backend_dead)
 {
-  BOOST_TEST(rc::check("a back end that accepts is never found dead", [] {
-    ProbeSimulation simulation = GenerateSimulation();
-    simulation.LostAttempt =
-      *rc::gen::inRange<std::size_t>(0, FailureProbe::kAttempts + 1);
-    RC_ASSERT(simulation.Run() != ProbeResult::kTimedOut);
-  }));
+  BOOST_TEST(
+    rc::check("a backend that accepts connections is never found dead", [] {
+      ProbeSimulation simulation = GenerateSimulation();
+      simulation.LostAttempt =
+        *rc::gen::inRange<std::size_t>(0, FailureProbe::kAttempts + 1);
+      RC_ASSERT(simulation.Run() != ProbeResult::kTimedOut);
+    }));
 }
 
 BOOST_AUTO_TEST_CASE(
   local_faults_and_a_full_accept_queue_never_report_a_live_backend_dead)
 {
-  BOOST_TEST(rc::check("nor one whose queue was full for two tries", [] {
-    ProbeSimulation simulation = GenerateSimulation();
-    const auto longest =
-      2 * FailureProbe::kAttemptInterval / std::chrono::milliseconds(1);
-    simulation.FullAcceptQueue.Begin = *rc::gen::inRange(0, kMaxTimeMs);
-    simulation.FullAcceptQueue.End = simulation.FullAcceptQueue.Begin +
-      *rc::gen::inRange(0, static_cast<int>(longest));
-    RC_ASSERT(simulation.Run() != ProbeResult::kTimedOut);
-  }));
+  BOOST_TEST(rc::check(
+    "a backend with a full accept queue for two attempts is not found dead",
+    [] {
+      ProbeSimulation simulation = GenerateSimulation();
+      const auto longest =
+        2 * FailureProbe::kAttemptInterval / std::chrono::milliseconds(1);
+      simulation.FullAcceptQueue.Begin = *rc::gen::inRange(0, kMaxTimeMs);
+      simulation.FullAcceptQueue.End = simulation.FullAcceptQueue.Begin +
+        *rc::gen::inRange(0, static_cast<int>(longest));
+      RC_ASSERT(simulation.Run() != ProbeResult::kTimedOut);
+    }));
 }
 
 BOOST_AUTO_TEST_CASE(dead_backend_is_detected_without_local_faults)
--- a/tests/core/probe/failure_probe_test.cc
+++ b/tests/core/probe/failure_probe_test.cc
@@ -12,13 +12,13 @@
 
 constexpr std::size_t kNever = FailureProbe::kAttempts;
 
-/// A trial whose parties answer at once, or not at all.
+/// A probe in which suspect and witnesses respond immediately or not at all.
 struct ProbeFixture
 {
   core::Time Now = 100s;
-  std::size_t SuspectRespondsFrom = kNever;   ///< By try.
-  std::size_t WitnessesRespondFrom = 0;       ///< By step.
-  std::size_t WitnessesRespondUntil = kNever; ///< By step, exclusive.
+  std::size_t SuspectRespondsFrom = kNever;   ///< First attempt.
+  std::size_t WitnessesRespondFrom = 0;       ///< First step.
+  std::size_t WitnessesRespondUntil = kNever; ///< Step, exclusive.
   ConnectOutcome SuspectOutcome = ConnectOutcome::kConnected;
   std::size_t Witnesses = FailureProbe::kMaxWitnesses;
   core::Duration LastStepDelay{ 0 };
--- a/tests/core/probe/healthy_flows_property_test.cc
+++ b/tests/core/probe/healthy_flows_property_test.cc
@@ -10,13 +10,13 @@
 using core::BackendId;
 using core::ProbeResult;
 
-/// Back ends that live and answer every connection, under a daemon that loses
-/// packets, stands still, and has a view that lapses and comes back late.
+/// Healthy backends behind a daemon with lost packets, suspensions, expired
+/// registrations and late registration updates.
 struct HealthyBackends : TokenFixture
 {
   static constexpr std::uint64_t kBackends = 3;
   static constexpr std::uint16_t kFlows = 6;
-  std::vector<BackendId> BackendByPort; ///< Their back ends, by port.
+  std::vector<BackendId> BackendByPort; ///< Of each flow.
   std::uint32_t Sequence = 0;
 
   HealthyBackends()
@@ -34,14 +34,14 @@
     const auto id = *rc::gen::inRange<std::uint64_t>(1, kBackends + 1);
     this->now += std::chrono::milliseconds(*rc::gen::inRange(0, 2'000));
     switch (action) {
-      case 0: // Data whose answer is lost, or that was sent before.
+      case 0: // Data whose response is lost, or a retransmission.
         this->Sequence += *rc::gen::inRange<std::uint32_t>(0, 2) * 10;
         this->SendData(port, 1);
         break;
       case 1:
         this->SendData(port, this->now.count());
         break;
-      case 2: // An opening that nobody answers.
+      case 2: // An unanswered opening.
         this->open(static_cast<std::uint16_t>(1'000 + this->Sequence++));
         break;
       case 3:
@@ -54,7 +54,7 @@
         this->steering.onResume();
         this->steering.onQueueDrained();
         break;
-      case 6: // The registration lapses.
+      case 6: // The registration expires.
         this->steering.backends().remove(
           keyOf(id), ++this->revision, this->now);
         break;
@@ -62,7 +62,7 @@
         this->putBackend(id, this->RegistrationOf(id));
         this->steering.onViewChanged();
         break;
-      default: // A late word of the one that was at the address before.
+      default: // A late update of the previous backend at the address.
         this->steering.backends().put("servers/before-" + std::to_string(id),
                                       this->RegistrationOf(id + kBackends),
                                       this->GetLateRevision(id),
@@ -78,8 +78,8 @@
     return makeRegistration(id, "web", 1, host);
   }
 
-  /// \return a revision of one that came before: it is known already, and
-  /// only its last word is late.
+  /// Get the revision of a late update of the previous backend: the oldest one
+  /// if the daemon does not know that backend yet.
   core::Revision GetLateRevision(std::uint64_t id)
   {
     core::BackendRegistry& backends = this->steering.backends();
@@ -88,7 +88,7 @@
     return isKnown ? ++this->revision : 0;
   }
 
-  /// Tell the living ones from those that were at their addresses before.
+  /// Check that a backend is not a previous one at the same address.
   static bool IsHealthy(BackendId id)
   {
     return static_cast<std::uint64_t>(id) <= kBackends;
@@ -103,11 +103,12 @@
                  static_cast<std::uint32_t>(acknowledgement),
                  10,
                  this->Sequence);
-    // It may be dropped, where the view has forgotten the back end.
+    // The packet may be dropped if the backend is no longer in the view.
     RC_ASSERT(!refusalOf(verdict).has_value());
   }
 
-  /// What a trial says of a back end that answers: see DeathTrial's property.
+  /// Probe with the results that are possible for a healthy backend; see
+  /// FailureProbePropertyTest.
   void Probe()
   {
     for (const core::BackendAddress& probed :
@@ -124,7 +125,7 @@
 
 BOOST_AUTO_TEST_CASE(no_flow_of_a_healthy_backend_is_reset)
 {
-  BOOST_TEST(rc::check("flows of living back ends pass", [] {
+  BOOST_TEST(rc::check("flows of healthy backends are not reset", [] {
     HealthyBackends fixture;
     const int actions = *rc::gen::inRange(1, 60);
     for (int i = 0; i < actions; ++i) {
--- a/tests/core/tokens/address_token_steering_test.cc
+++ b/tests/core/tokens/address_token_steering_test.cc
@@ -19,8 +19,7 @@
   return options;
 }
 
-/// A daemon whose tokens hold addresses, and one that has just started and
-/// has no view.
+/// A daemon that uses address tokens, and one that has no view yet.
 struct AddressTokenFixture
 {
   sim::SeededRandom Random{ 1 };
@@ -47,8 +46,6 @@
       TokenFixture::keyOf(id), registration, ++this->Revision, this->Now);
   }
 
-  /// Open a flow.
-  /// \return how the opening went on.
   core::ForwardToBackend OpenFlow(std::uint16_t port)
   {
     this->Now += 100ms;
@@ -72,7 +69,7 @@
     return steering.onPacket(summary, this->Now);
   }
 
-  /// Show the blind daemon tokens of enough hosts.
+  /// Send tokens of enough hosts to the daemon without view to infer the port.
   void InferPort()
   {
     for (std::uint8_t host = 1; host <= core::kHostsForPort; ++host) {
@@ -90,9 +87,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(AddressTokenSteeringTest, AddressTokenFixture)
 
-// After a total loss of power with the store away all packets of open flows
-// were dropped, though their back ends lived (lantern-archive, a hunt day:
-// 2,052 packets in two seconds).
+// Packets of open flows must not be dropped when all daemons restart while the
+// store is unreachable.
 BOOST_AUTO_TEST_CASE(daemon_without_view_forwards_open_flows)
 {
   const core::ForwardToBackend opened = this->OpenFlow(1);
@@ -152,7 +148,7 @@
     const auto& forward = std::get<core::ForwardToBackend>(verdict);
     BOOST_TEST((forward.backend.endpoint == expected));
     BOOST_TEST((forward.reason == RouteReason::kCarriedToken));
-    // The flow carries the present form from now on.
+    // Packets forwarded with a hash token get the address token.
     BOOST_TEST((forward.token == this->TokenOfHost(3)));
   }
 }
@@ -180,7 +176,7 @@
   this->PutBackend(this->Steering, makeRegistration(60, "web", 1, 2));
   BOOST_TEST(
     (this->Steering.backends().findByToken(token)->id == BackendId{ 60 }));
-  // The later one takes flows: the earlier one does not keep its token.
+  // Only the later backend accepts new flows.
   BOOST_TEST(this->Steering.backends().takesNewFlows(BackendId{ 60 }));
   BOOST_TEST(!this->Steering.backends().takesNewFlows(BackendId{ 2 }));
 }
@@ -217,9 +213,8 @@
   BOOST_TEST(this->Steering.backends().findByToken(token) == nullptr);
 }
 
-// A daemon without a view once opened flows at back ends that answered others
-// of their route. Such flows may be older than a version that took the service
-// from the route: CONFIG was broken on cflc-quotes-grown (trouble-3).
+// Packets of open flows must not make their backend a target for new flows, as
+// a later configuration may have removed its service from the route.
 BOOST_AUTO_TEST_CASE(responses_without_view_open_no_flow)
 {
   this->InferPort();
--- a/tests/core/tokens/token_index_test.cc
+++ b/tests/core/tokens/token_index_test.cc
@@ -49,7 +49,7 @@
   BOOST_TEST(!hashes.Find(this->AddressToken(address)).has_value());
 }
 
-// Of the ports of one host about one pair in 256 shares a token.
+// About one pair in 256 of the ports of a host shares a token.
 BOOST_AUTO_TEST_CASE(colliding_address_tokens_are_replaced_by_hashes)
 {
   std::map<core::SteeringToken, core::Endpoint> seen;
--- a/tests/core/tokens/token_resolver_test.cc
+++ b/tests/core/tokens/token_resolver_test.cc
@@ -39,7 +39,7 @@
   core::TokenResolver resolver(kCodec);
   for (std::uint8_t host = 1; host < core::kHostsForPort; ++host) {
     BOOST_TEST(!resolver.Resolve(TokenOfHost(host)).has_value());
-    // One host's packets say nothing more, however many.
+    // Repeated tokens of a host are ignored.
     BOOST_TEST(!resolver.Resolve(TokenOfHost(host)).has_value());
   }
   BOOST_TEST((resolver.Resolve(TokenOfHost(4)) == endpoint(1, 4, kPort)));
--- a/tests/core/tokens/token_steering_model.h
+++ b/tests/core/tokens/token_steering_model.h
@@ -1,8 +1,8 @@
 /// @file
-/// A small world for stateful fuzzing of token steering: back ends that start,
-/// leave, crash and re-use addresses, a store whose registrations lapse, and
-/// daemons that restart.  It is its own oracle: it knows which back end holds
-/// which flow.
+/// Model for stateful fuzzing of token steering: backends that start, drain,
+/// crash and reuse addresses, a store whose registrations expire, and daemons
+/// that restart.  The model knows the backend of each flow and serves as the
+/// oracle.
 #pragma once
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 
 namespace cobaltgauge::tests {
 
-/// One incarnation of a back end.
+/// One incarnation of a backend.
 struct ModelBackend
 {
   core::Registration Registration;
@@ -30,7 +30,7 @@
 {
   std::uint16_t Port = 0;
   std::uint8_t Route = 1;
-  std::size_t Owner = 0; ///< Index of its back end.
+  std::size_t Owner = 0; ///< Index of its backend.
   core::SteeringToken Token = core::kNoToken;
   std::uint32_t Acknowledgement = 1;
 };
@@ -43,7 +43,7 @@
 };
 
 /** \class ReachWorld
- * \brief Carry out commands and note what breaks a rule.
+ * \brief Executes commands and records violated invariants.
  */
 class TokenSteeringModel
 {
@@ -55,7 +55,7 @@
 
   std::vector<std::string> Violations;
   std::size_t Opened = 0;
-  std::size_t Resolved = 0; ///< Packets that went on without a registration.
+  std::size_t Resolved = 0; ///< Packets forwarded without a registration.
 
   TokenSteeringModel()
   {
@@ -70,7 +70,7 @@
     }
   }
 
-  /// Carry out one command, whatever its numbers mean.
+  /// Execute one command; any pair of numbers is valid.
   void Execute(unsigned command, unsigned choice)
   {
     ModelDaemon& daemon = this->Daemons[choice % kDaemons];
@@ -121,7 +121,7 @@
     return route == 1 ? "web" : "api";
   }
 
-  /// \return the back end that is at an address, if any lives there.
+  /// Get the index of the live backend at an address, if any.
   std::optional<std::size_t> FindAlive(const core::Endpoint& address) const
   {
     for (std::size_t i = 0; i < this->Backends.size(); ++i) {
@@ -155,7 +155,7 @@
   void DrainBackend(std::uint8_t host)
   {
     const auto index = this->FindAlive(endpoint(1, host, 8000));
-    // It asks the store to take that first.
+    // Draining is recorded in the store first.
     if (index && this->IsStoreUp && this->Backends[*index].IsRegistered) {
       this->Backends[*index].Registration.state = core::BackendState::kLeaving;
       ++this->Revision;
@@ -234,7 +234,7 @@
     return packet;
   }
 
-  /// \return the back end that takes a packet, if any does.
+  /// Get the index of the backend that receives a packet, if any.
   std::optional<std::size_t> Deliver(const core::ForwardToBackend& forward)
   {
     const auto index = this->FindAlive(forward.backend.endpoint);
@@ -260,10 +260,11 @@
     }
     const ModelBackend& backend = this->Backends[*receiver];
     if (backend.Registration.service != ServiceOf(route)) {
-      this->Violations.push_back("a flow was opened at another service");
+      this->Violations.push_back(
+        "a flow was opened at a backend of another service");
     }
     if (daemon.KnownDraining.count(backend.Registration.id) != 0) {
-      this->Violations.push_back("a flow was opened at a leaving back end");
+      this->Violations.push_back("a flow was opened at a draining backend");
     }
     ++this->Opened;
     flow.Owner = *receiver;
@@ -293,14 +294,15 @@
       return;
     }
     if (std::holds_alternative<core::Refuse>(verdict)) {
-      this->Violations.push_back("a flow of a living back end was reset");
+      this->Violations.push_back("a flow of a live backend was reset");
     }
     const auto* forward = std::get_if<core::ForwardToBackend>(&verdict);
     if (!forward) {
       return;
     }
     if (forward->backend.endpoint != owner.Registration.endpoint) {
-      this->Violations.push_back("a flow's packet went to another address");
+      this->Violations.push_back(
+        "a packet was forwarded to an address other than its flow's backend");
       return;
     }
     this->Resolved += forward->reason == core::RouteReason::kReached ? 1 : 0;
@@ -316,7 +318,7 @@
     for (ModelDaemon& daemon : this->Daemons) {
       daemon.Steering->onTick(this->Now);
     }
-    // Who lives has registered again by now; a daemon in touch reads that.
+    // Live backends have registered again by now.
     if (this->IsStoreUp &&
         this->Now - this->StoreReconnectedAt >= kReregistrationTime) {
       for (ModelBackend& backend : this->Backends) {
--- a/tests/core/tokens/token_steering_stateful_test.cc
+++ b/tests/core/tokens/token_steering_stateful_test.cc
@@ -1,4 +1,4 @@
-/// Stateful fuzzing of token steering against the oracle of ReachWorld.
+/// Stateful fuzzing of token steering, with TokenSteeringModel as the oracle.
 #include <rapidcheck.h>
 
 #include <boost/test/unit_test.hpp>
@@ -29,19 +29,20 @@
 {
   std::size_t opened = 0;
   std::size_t resolved = 0;
-  const bool holds = rc::check("flows stay, openings are the route's", [&] {
-    TokenSteeringModel model;
-    for (const auto& [command, choice] : *MakeCommands()) {
-      model.Execute(command, choice);
-      if (!model.Violations.empty()) {
-        RC_FAIL(model.Violations.front());
+  const bool holds = rc::check(
+    "flows keep their backend; new flows go to backends of their route", [&] {
+      TokenSteeringModel model;
+      for (const auto& [command, choice] : *MakeCommands()) {
+        model.Execute(command, choice);
+        if (!model.Violations.empty()) {
+          RC_FAIL(model.Violations.front());
+        }
       }
-    }
-    opened += model.Opened;
-    resolved += model.Resolved;
-  });
+      opened += model.Opened;
+      resolved += model.Resolved;
+    });
   BOOST_TEST(holds);
-  // The sequences reach what they are about.
+  // The sequences cover opened flows and packets without a registration.
   BOOST_TEST(opened > 1000U);
   BOOST_TEST(resolved > 100U);
 }
