--- a/tests/core/tokens/token_steering_model.h
+++ b/tests/core/tokens/token_steering_model.h
@@ -42,7 +42,7 @@
   std::set<core::BackendId> KnownDraining;
 };
 
-/** \class ReachWorld
+/** \class TokenSteeringModel
  * \brief Executes commands and records violated invariants.
  */
 class TokenSteeringModel
