--- a/src/core/backend_candidates.cc
+++ b/src/core/backend_candidates.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of BackendRegistry that tells which back ends may be given new flows.
+/// Selection by BackendRegistry of the backends that may receive new flows.
 #include <algorithm>
 
 #include "core/backend_registry.h"
@@ -19,7 +19,7 @@
 }
 
 bool BackendRegistry::isServing(const Entry& entry) const {
-  // Of two back ends with one token only the first takes flows.
+  // If two backends have the same token, only the first accepts flows.
   return tokens_.OwnsHash(entry.address.id) && entry.present && !entry.ended &&
          entry.registration.state == BackendState::kActive;
 }
@@ -43,7 +43,7 @@
 }
 
 const CandidateList& BackendRegistry::candidateList(ServiceId service) {
-  // Peers may ask for services that nobody has; nothing is kept for those.
+  // Peers may request unknown services; no list is stored for those.
   static const CandidateList kNone;
   const auto keys = services_.find(service);
   if (keys == services_.end()) {
@@ -99,7 +99,7 @@
   const auto& list = departures->second;
   for (auto item = list.rbegin(); item != list.rend() && item->first > since; ++item) {
     const auto entry = entries_.find(item->second);
-    // One that came back and departed again counts by its last departure.
+    // A backend that returned and departed again counts by its last departure.
     const bool isLast = entry != entries_.end() && entry->second.removedAt == item->first;
     if (isLast && hasVanished(entry->second, since)) {
       vanished.push_back(candidateOf(entry->second));
--- a/src/core/backend_directory.cc
+++ b/src/core/backend_directory.cc
@@ -5,7 +5,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Identity of an endpoint alone, whatever service or incarnation uses it.
+/// Hash of an endpoint, independent of service and incarnation.
 std::uint64_t endpointHash(const Endpoint& endpoint) {
   return static_cast<std::uint64_t>(backendIdOf(ServiceId{0}, endpoint, 0));
 }
@@ -64,16 +64,16 @@
 }
 
 std::vector<BackendId> BackendDirectory::removeExpired(Time now, Duration keep) {
-  std::vector<BackendId> forgotten;
+  std::vector<BackendId> removed;
   for (const auto& [id, entry] : entries_) {
     if (!entry.configured && now - entry.removedAt > keep) {
-      forgotten.push_back(id);
+      removed.push_back(id);
     }
   }
-  for (const BackendId id : forgotten) {
+  for (const BackendId id : removed) {
     entries_.erase(id);
   }
-  return forgotten;
+  return removed;
 }
 
 }  // namespace cobaltgauge::core
--- a/src/core/backend_directory.h
+++ b/src/core/backend_directory.h
@@ -1,6 +1,6 @@
 /// @file
-/// Where every back end is that some flow may still belong to, including back ends that have left
-/// the configuration, and which of them may take new flows.
+/// Addresses and states of all backends that may have flows, including backends that were removed
+/// from the configuration.
 #pragma once
 
 #include <unordered_map>
@@ -13,23 +13,23 @@
 
 class BackendDirectory {
  public:
-  /// Takes the back ends of a new configuration.
-  /// @return back ends whose endpoint now belongs to another service or incarnation. Their flows
-  /// must be forgotten, or a packet would reach a service that is not its own.
+  /// Applies the backends of a new configuration.
+  /// @return backends whose endpoint now belongs to another service or incarnation. The caller must
+  /// remove their flows, or packets would reach the wrong service.
   std::vector<BackendId> apply(const Configuration& configuration, Time now);
 
-  /// Learns of a back end from a peer that knows a flow on it.
-  /// @return false where the endpoint belongs to someone else now; the back end is not learned.
+  /// Adds a backend reported by a peer that has a flow to it.
+  /// @return false if the endpoint belongs to another backend; nothing is added then.
   bool learn(const BackendAddress& backend, Time now);
 
-  /// @return the back end's address, or null when it is unknown or its endpoint was given away.
+  /// @return the address of the backend, or null if it is unknown or its endpoint was reassigned.
   const BackendAddress* find(BackendId id) const;
 
-  /// @return true where the configuration lists the back end as leaving, or no longer lists it.
+  /// @return true if the configuration lists the backend as leaving or does not list it.
   bool isLeaving(BackendId id) const;
 
-  /// Forgets back ends that left the configuration longer ago than `keep`.
-  /// @return the forgotten back ends.
+  /// Removes backends that left the configuration more than `keep` ago.
+  /// @return the removed backends.
   std::vector<BackendId> removeExpired(Time now, Duration keep);
 
  private:
@@ -41,7 +41,7 @@
   };
 
   std::unordered_map<BackendId, Entry> entries_;
-  std::unordered_map<std::uint64_t, BackendId> owners_;  ///< Endpoint hash to configured owner.
+  std::unordered_map<std::uint64_t, BackendId> owners_;  ///< Configured owner by endpoint hash.
 };
 
 }  // namespace cobaltgauge::core
--- a/src/core/backend_health.cc
+++ b/src/core/backend_health.cc
@@ -116,7 +116,7 @@
 }
 
 void BackendHealth::remove(BackendId backend) {
-  // A probe that is under way meets record that know nothing of it, and proves nothing.
+  // Without the record, the result of a pending probe is ignored.
   records_.erase(backend);
   pending_.erase(backend);
 }
--- a/src/core/backend_health.h
+++ b/src/core/backend_health.h
@@ -1,12 +1,12 @@
 /// @file
-/// What this daemon believes of the life of back ends. Record come from the callers' packets alone:
-/// an opening without answer, or data that is sent again, ask something of the back end; a packet
-/// that acknowledges new bytes proves an answer. A sign steers new flows away at once. Whether open
-/// flows are given up is decided by a probe, a connection to the back end's address, since a lost
-/// packet or a slow answer looks the same from here.
+/// Passive health checks of backends, based on the packets of clients. Connection attempts and
+/// retransmitted data are requests; an acknowledgement of new bytes is a response. A backend with
+/// an overdue response is suspected and gets no new flows. Since packet loss or a slow response
+/// looks the same, open flows are reset only after a failed probe, a connection to the backend's
+/// address.
 ///
-/// Invariant: where most back ends seem dead, none is believed to be: this daemon is likelier cut
-/// off than all of them gone.
+/// Invariant: if most backends are suspected, none is probed or declared dead, because this daemon
+/// is more likely partitioned.
 #pragma once
 
 #include <unordered_map>
@@ -19,69 +19,70 @@
 
 namespace cobaltgauge::core {
 
-/// Counters of a BackendHealth; see docs/METRICS.md.
+/// Counters of BackendHealth; see docs/METRICS.md.
 struct BackendHealthCounters {
   std::uint64_t probes = 0;
   std::uint64_t declaredDead = 0;
-  std::uint64_t unproven = 0;  ///< Probes without an answer that prove nothing.
+  std::uint64_t unproven = 0;  ///< Inconclusive probes.
   std::uint64_t revived = 0;
 };
 
 class BackendHealth {
  public:
-  /// Notes that an opening was sent on to the back end.
+  /// Records that a connection attempt was forwarded to the backend.
   void onOpening(BackendId backend, Time now);
-  /// Notes that a caller sent data again which it first sent at `firstSentAt`.
+  /// Records that a client retransmitted data first sent at `firstSentAt`.
   void onRetransmittedData(BackendId backend, Time firstSentAt, Time now);
-  /// Notes that a caller has received something new from the back end.
+  /// Records that a client received new data from the backend.
   void onAnswer(BackendId backend, Time now);
 
-  /// @return true where new flows should go elsewhere if they can.
+  /// @return true if new flows should prefer other backends.
   bool isSuspected(BackendId backend, Time now) const;
   bool isDead(BackendId backend) const;
-  /// @return false where everything is answered; cheap.
+  /// @return false if no backend is suspected or dead. Constant time.
   bool hasSuspects() const { return !pending_.empty(); }
 
-  /// @param backendCount how many back ends there are.
-  /// @return back ends to be probed now; each must be answered by onProbe().
+  /// @param backendCount number of all backends. If more than half of them are suspected, nothing
+  /// is probed.
+  /// @return backends to probe now. Each requires a call of onProbe().
   std::vector<BackendId> takeProbes(std::size_t backendCount, Time now);
-  /// Takes the result of a probe. @return true where the back end is dead from now on, until an
-  /// answer, or until kDeadStateTtl has passed without another such result.
+  /// Processes the result of a probe. @return true if the backend has become dead. It stays dead
+  /// until it responds, or for kDeadStateTtl after the last probe that confirmed it.
   bool onProbe(BackendId backend, ProbeResult result, Time now);
 
-  /// @return back ends that were heard last and answer, with the time; none that is suspected.
+  /// @return backends that are not suspected, with the times of their last responses.
   std::vector<std::pair<BackendId, Time>> respondingBackends(Time now) const;
 
-  /// Forgets a back end that has started anew.
+  /// Removes the record of a backend that has restarted.
   void remove(BackendId backend);
-  /// Call after the process was suspended: what is unanswered since before means nothing, and who
-  /// was dead then may live again.
+  /// To be called after the process was suspended. Clears unanswered requests and dead states,
+  /// which are out of date.
   void onResume();
-  /// Call where this daemon was found to reach nothing, and when it does again: what it believed
-  /// meanwhile was its own trouble.
+  /// To be called when this daemon loses or regains the connection to all backends. Clears the
+  /// states, which the connection loss may have caused.
   void onReachabilityChanged();
-  /// Forgets back ends without recent record, and deaths that were not proven again.
+  /// Removes old records, and dead states that were not confirmed again.
   void expire(Time now);
 
   const BackendHealthCounters& counters() const { return counters_; }
 
  private:
   struct Record {
-    Time lastActivity{};     ///< Of either kind; for forgetting.
-    Time lastResponse{};     ///< Zero: none.
-    Time confirmedDeadAt{};  ///< By the last probe that did.
-    Time unansweredSince{};  ///< When the first unanswered thing was sent; zero: all answered.
+    Time lastActivity{};     ///< Last request or response; for expiry.
+    Time lastResponse{};     ///< Zero if none.
+    Time confirmedDeadAt{};  ///< Time of the last confirming probe.
+    Time unansweredSince{};  ///< Time of the first unanswered request; zero if none.
     Time nextProbe{};
     Time probeStartedAt{};
     bool probing = false;
-    bool probeValid = false;  ///< What was believed when it began still holds.
+    bool probeValid = false;  ///< The record was not reset during the probe.
     bool dead = false;
   };
 
   void recordRequest(BackendId backend, Time since, Time now);
 
   std::unordered_map<BackendId, Record> records_;
-  /// Back ends with something unanswered, or dead; few, while `records_` may hold all.
+  /// Backends with unanswered requests, and dead backends. A small subset of `records_`.
   std::unordered_set<BackendId> pending_;
   BackendHealthCounters counters_;
 };
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sizes and time limits of the decision core, with the reason for each value.
+/// Sizes, limits and durations of the core.
 #pragma once
 
 #include <cstddef>
@@ -11,30 +11,27 @@
 
 using namespace std::chrono_literals;
 
-/// Buckets per service. With 15 back ends one bucket is 0.4% of a back end's share, so the table
-/// adds less imbalance than random flow arrival does (see docs/design/001-flow-routing.md).
+/// Hash buckets per service; see docs/design/001-flow-routing.md.
 inline constexpr std::size_t kBucketCount = 4096;
 
-/// Buckets are grouped into shards, each with one home daemon. Sixteen shards keep the number of
-/// listing reports per change at (members x 16) while spreading homes over the fleet.
+/// Shards that the buckets are divided into. Each shard has one home daemon.
 inline constexpr std::size_t kShardCount = 16;
 inline constexpr std::size_t kBucketsPerShard = kBucketCount / kShardCount;
 
-/// Longest time a home treats an unknown flow of a moved bucket as an old one. A back end that
-/// leaves receives no new flow after this plus the configuration spread time.
+/// Longest time for which a home treats an unknown flow of a moved bucket as an existing flow.
 inline constexpr Duration kListingWindow = 1000ms;
 
-/// Interval at which the core expects onTick.
+/// Interval at which onTick is to be called.
 inline constexpr Duration kTickInterval = 50ms;
 
-/// A gap between ticks longer than this means that the process was suspended.
+/// A longer gap between two ticks means that the process was suspended.
 inline constexpr Duration kSuspensionGap = 1000ms;
 
 /// How long a fenced daemon waits for a peer before it serves alone.
 inline constexpr Duration kFencePeerTimeout = 3000ms;
-/// The same for a joiner that knows of peers and hears none: it is more likely cut off than first.
+/// The same for a daemon that joins, knows of peers and receives nothing from them.
 inline constexpr Duration kFenceIsolatedTimeout = 30s;
-/// How long a daemon waits for the other side of a healed cut to confirm its view.
+/// How long a daemon waits for the other side of a recovered network partition to confirm its view.
 inline constexpr Duration kHealConfirmationTimeout = 500ms;
 
 /// Membership protocol period, probe timeouts and suspicion time (SWIM, Das et al. 2002).
@@ -42,287 +39,261 @@
 inline constexpr Duration kDirectProbeTimeout = 100ms;
 inline constexpr Duration kSuspicionTimeout = 1200ms;
 inline constexpr Duration kMemberSyncInterval = 20s;
-/// Dead and left members are remembered this long, so that stale gossip cannot revive them.
+/// Retention of dead and departed members, so that stale gossip cannot add them again.
 inline constexpr Duration kDeadMemberRetention = 600s;
 inline constexpr std::size_t kIndirectProbeCount = 3;
 inline constexpr std::size_t kMaxUpdatesPerMessage = 8;
 
-/// Resend interval and give-up time of reliable peer messages.
+/// Resend interval and total timeout of reliable peer messages.
 inline constexpr Duration kResendInterval = 200ms;
 inline constexpr Duration kResendTimeout = 5000ms;
-/// Most flow records in one peer message; 64 records stay below a 1,400-byte datagram.
+/// Maximum number of flow records in one peer message; they fit into a datagram of 1,400 bytes.
 inline constexpr std::size_t kMaxRecordsPerMessage = 64;
 
-/// How long a new home relays to the previous home while it waits for its records.
+/// How long a new home relays to the previous home while it waits for the flow records.
 inline constexpr Duration kHandoverTimeout = 2000ms;
-/// Reports of a move acknowledged this recently may have died with the home, before its replica
-/// had them.
+/// Reports of moves acknowledged within this time may be lost if the home fails, because its
+/// replica may not have them yet.
 inline constexpr Duration kRecentMoveWindow = 10s;
-/// How long a home that lost its records waits for the members' listings.
+/// How long a home that lost its records waits for the listings of the members.
 inline constexpr Duration kListingTimeout = 1500ms;
 
-/// A home calls a refusal "not run" only when it has owned the shard for longer than a caller
-/// retransmits: MAX_TRANSMIT_SPAN of RFC 7252, section 4.8.2.
+/// MAX_TRANSMIT_SPAN of RFC 7252, section 4.8.2. A home reports a request as not executed only if
+/// it has owned the shard for longer than this.
 inline constexpr Duration kMaxTransmitSpan = 45s;
 
-/// Daemons per zone that read the platform's configuration service.
+/// Daemons per zone that read the configuration service of the platform.
 inline constexpr std::size_t kReadersPerZone = 2;
-/// Every daemon reads the platform itself when it heard no peer for this long.
+/// A daemon that received nothing from any peer for this long reads the platform itself.
 inline constexpr Duration kPeerSilenceTimeout = 3000ms;
 
-/// Longest distance a packet may travel between daemons before it is dropped.
+/// Maximum number of times that a packet is forwarded between daemons.
 inline constexpr std::uint8_t kMaxPeerHops = 2;
 
-/// Callers of formats with a token send an opening for at most this long.
+/// Clients of formats with a token retransmit a connection attempt for at most this long.
 inline constexpr Duration kOpeningRetryWindow = 1500ms;
-/// A back end that leaves an opening or repeated data unanswered for this long is suspected. Below
-/// the callers' first repetition (200 ms), above any answer of a back end that listens.
+/// A backend that leaves a connection attempt or retransmitted data unanswered for longer is
+/// suspected. Shorter than the initial retransmission timeout of clients (200 ms).
 inline constexpr Duration kResponseTimeout = 150ms;
-/// The time between two probes of one back end.
+/// Time between two probes of one backend.
 inline constexpr Duration kProbeRetryInterval = 1000ms;
-/// How long a back end counts as dead after it was proven: until two more probes, 0.3 s each, have
-/// ended. A verdict that nothing renews, as where this daemon is held up, must not outlive the end
-/// of what caused it.
+/// How long a backend is considered dead after a failed probe that confirmed it. Covers two more
+/// probes.
 inline constexpr Duration kDeadStateTtl = 3000ms;
-/// How long signs of a back end are remembered.
+/// How long the health record of a backend without activity is kept.
 inline constexpr Duration kHealthRecordTtl = 15s;
-/// Back ends of one service that are compared for one opening, drawn at random where there are
-/// more; bounds its cost in large services.
+/// Maximum number of backends of one service that are compared for a connection attempt. Larger
+/// services are sampled at random.
 inline constexpr std::size_t kPlacementSampleSize = 32;
 
-/// Items of one page of a store's listing, about 100 KB.
+/// Items in one page of a store listing, about 100 KB.
 inline constexpr std::size_t kStorePageItems = 500;
-/// Where the store's history is gone, daemons that are no seeds list everything again within this
-/// for each page and daemon at most: a page takes a store's link of 1,000 Mbit/s 0.8 ms.
+/// Maximum random delay, per page and daemon, before daemons that are no seeds list the store again
+/// after it lost its history.
 inline constexpr Duration kListJitterPerPage = 1ms;
-/// Time between two openings that one daemon gives a back end with one slot; with more slots it is
-/// shorter. Ten daemons fill the queue of a back end with two slots in a tenth of a second, which
-/// works off as much meanwhile.
+/// Minimum time between two connection attempts that one daemon forwards to a backend with one
+/// slot. Divided by the number of slots.
 inline constexpr Duration kOpeningPacingInterval = 100ms;
-/// The last copy of an opening that a caller sends; it is never left to a later one.
+/// Retransmission number of the last copy of a connection attempt that a client sends. This copy is
+/// never dropped for pacing.
 inline constexpr std::uint32_t kMaxOpeningRetransmissions = 2;
-/// How long a service without back ends is taken for one whose registrations are on their way.
+/// How long connection attempts to a service without backends are dropped rather than refused,
+/// because registrations may be pending.
 inline constexpr Duration kEmptyServiceGracePeriod = 1500ms;
-/// How long a back end that vanished without a word may still be given flows: where it is all that
-/// its service has, and where many vanished together, which means that their registrations lapsed
-/// while the store was away. The users' page has them back within this time of the store's return;
-/// a back end that left without a word serves on for longer.
+/// How long a backend that vanished without announcing it may still receive flows, if its service
+/// has no other backend or many vanished together. Their registrations may have expired while the
+/// store was unavailable.
 inline constexpr Duration kVanishedBackendGracePeriod = 2000ms;
 
-/// How long the store may hold a watch. Its answer, even without a change, shows that the view is
-/// the store's; followers of this daemon need to know that well before they read themselves.
+/// Maximum time for which the store may hold a watch. A response without changes confirms that the
+/// view is current.
 inline constexpr std::chrono::milliseconds kWatchMaxWait = 900ms;
-/// Wait of the first watch after a lost one. The store may be about to drop its history, and
-/// answers such a watch only when its wait is over; an answer proves that nothing was missed.
+/// Wait of the first watch after a lost one. A response proves that no change was missed.
 inline constexpr std::chrono::milliseconds kConfirmWatchMaxWait = 300ms;
-/// Wait of the watch that brings a stale first listing up to date: its answer is wanted at once.
+/// Wait of the watch that brings a stale first listing up to date.
 inline constexpr std::chrono::milliseconds kCatchUpWatchMaxWait = 1ms;
-/// Time-out of a first read of the store; doubled with every third failure in a row, so that a
-/// store that is slow is reached in the end, and one that was silent is noticed soon after its
-/// return.
+/// Initial timeout of a store read. Doubled after every kFailuresPerReadTimeoutDoubling consecutive
+/// failures, at most kMaxReadTimeoutDoublings times.
 inline constexpr Duration kReadTimeout = 250ms;
-/// Time beyond its wait that a watch may take.
+/// Time that a watch may take in addition to its wait.
 inline constexpr Duration kWatchTimeoutMargin = 500ms;
 inline constexpr std::uint32_t kFailuresPerReadTimeoutDoubling = 3;
 inline constexpr std::uint32_t kMaxReadTimeoutDoublings = 3;
-/// Wait before a failed read is repeated: doubled likewise, half of it random, and short while a
-/// starting daemon has no view at all.
+/// Exponential backoff after a failed read, half of it random. A starting daemon without a view
+/// uses kStartupReadBackoff.
 inline constexpr Duration kReadBackoff = 100ms;
 inline constexpr Duration kMaxReadBackoff = 800ms;
 inline constexpr Duration kStartupReadBackoff = 100ms;
-/// What a daemon that hears seeds adds to it for each daemon that it knows beyond a small fleet's:
-/// seeds try as before and tell it when the store serves them. kMaxViewPeers are known of a large
-/// fleet, which gives kMaxReadBackoff.
+/// Added to kStartupReadBackoff, up to kMaxReadBackoff, for each known daemon beyond
+/// kSmallFleetPeers, on a daemon that receives messages from seeds.
 inline constexpr std::size_t kSmallFleetPeers = 8;
 inline constexpr Duration kStartupReadBackoffPerPeer = 30ms;
-/// The same after kFailuresBeforeSeedBackoff failures in a row, on a daemon that hears a seed:
-/// seeds try as well and pass on what they read. Half of it random; the time in which a change has
-/// to be in force on the strictest fleets, so that a store that serves this daemon alone is noticed
-/// in time.
+/// Backoff after kFailuresBeforeSeedBackoff consecutive failures on a daemon that receives messages
+/// from a seed, which also reads the store. Half of it is random.
 inline constexpr Duration kReadBackoffWithSeed = 3000ms;
 inline constexpr std::uint32_t kFailuresBeforeSeedBackoff = 1;
-/// Time that a daemon which hears a seed leaves after a read, so that it learns of a daemon to
-/// follow before it reads again: two questions kPeerQueryInterval apart and a busy seed's answer.
-/// Its next watch waits so much less.
+/// Pause after a read on a daemon that receives messages from a seed, so that it can find a daemon
+/// to follow before it reads again. The wait of the next watch is shortened by the same time.
 inline constexpr std::chrono::milliseconds kReadHoldOff = 500ms;
-/// A daemon whose seeds read in vain makes its own first try at a random time within this for each
-/// daemon that it knows, kReadBackoffWithSeed at most: ten tries a second over a small fleet.
+/// Random delay, per known daemon, before the first read of a daemon whose seeds fail to read the
+/// store. Limited to kReadBackoffWithSeed.
 inline constexpr Duration kFirstReadJitterPerPeer = 100ms;
-/// The same for its later tries: two or three a second over the fleet. A daemon knows no more than
-/// kMaxViewPeers others, so the span is bounded; larger fleets try more often, not less.
+/// The same for later reads. Limited to kMaxReadJitter.
 inline constexpr Duration kReadJitterPerPeer = 400ms;
 inline constexpr Duration kMaxReadJitter = 12s;
-/// A seed that has answered within this time counts as one that tries.
+/// A seed that responded within this time is assumed to be reading the store.
 inline constexpr Duration kSeedLivenessWindow = 1500ms;
-/// A stale first listing is brought up to date by a seed, where one answers within this time and no
-/// packet waits: machines of a fleet start within 0.3 s of each other, and a tick passes between
-/// two questions.
+/// How long a daemon with a stale first listing waits for a seed to bring it up to date, unless a
+/// packet is waiting.
 inline constexpr Duration kPeerCatchUpTimeout = 700ms;
-/// Changes that follow each other within kBurstGap are a burst; the watch that follows one begins
-/// later and waits only this long, so that a burst costs few reads. Pause and watch together take
-/// as long as any watch, since its answer is a sign of life. A single change is taken at once.
+/// Changes at most this far apart form a burst. The next watch is then delayed and waits for
+/// kPostBurstWatchMaxWait only, which reduces the number of reads.
 inline constexpr Duration kBurstGap = 1000ms;
 inline constexpr std::chrono::milliseconds kPostBurstWatchMaxWait = 100ms;
-/// How long every change is taken at once after a packet could not be decided for want of a back
-/// end that may just be registering.
+/// How long changes are read without delay after a packet lacked a backend that may be registering.
 inline constexpr Duration kUrgentChangeWindow = 1000ms;
-/// A starting daemon asks peers when the store has answered nothing for this long.
+/// A starting daemon queries peers if the store has not responded for this long.
 inline constexpr Duration kStoreStartupTimeout = 250ms;
-/// A daemon with a view asks peers for a newer one when the store has failed it for this long.
+/// A daemon with a view queries peers for a newer one if the store has failed for this long.
 inline constexpr Duration kStoreSilenceTimeout = 1500ms;
 inline constexpr Duration kPeerQueryInterval = 400ms;
-/// What a daemon gives of whole views in a second, in units of about 16 KB: 1 MB, which a small
-/// machine's link still carries. Who asks beyond that is told of other peers. After most daemons
-/// were killed during an outage the few others are all that the rest can get a view from.
+/// Rate limit for sending complete views, in units of about 16 KB. Requests beyond it are referred
+/// to other peers.
 inline constexpr std::uint32_t kViewUnitsPerSecond = 64;
-/// Back ends and routes in one unit; each takes about 60 to 100 bytes.
+/// Backends and routes in one unit, at 60 to 100 bytes each.
 inline constexpr std::size_t kItemsPerViewUnit = 200;
-/// Peers asked at once, and peers remembered.
+/// Peers that are queried at once, and peers that are kept.
 inline constexpr std::size_t kPeersPerQuery = 2;
 inline constexpr std::size_t kMaxViewPeers = 32;
 
-/// A view counts as current for this long after it was confirmed. Longer than kWatchMaxWait, so
-/// that one confirmation follows the other, and well below the time in which changes must be in
-/// force.
+/// How long a view is considered current after it was confirmed. Longer than kWatchMaxWait, so that
+/// successive confirmations overlap.
 inline constexpr Duration kViewFreshnessPeriod = 1400ms;
 
 // Readiness; see docs/design/011-failure-domains.md.
 
-/// Back ends without an answer, and back ends whose probes time out, before a daemon says that it
-/// can't serve: one may be dead, two may be of one machine or have lost packets on the way.
+/// Minimum number of unresponsive backends, and of backends whose probes time out, before a daemon
+/// reports that it is not ready.
 inline constexpr std::size_t kMinUnresponsiveForNotReady = 2;
 inline constexpr std::size_t kMinFailedProbesForNotReady = 3;
-/// Time between two rounds of probes, of kMinFailedProbesForNotReady before a daemon leaves and of
-/// one while it is out: four connections a second, and routers, who ask twice a second, have it
-/// back within a second of the heal.
+/// Time between two rounds of readiness probes. A round has kMinFailedProbesForNotReady probes
+/// while the daemon is ready and one while it is not.
 inline constexpr Duration kReadinessProbeInterval = 250ms;
-/// How long such a probe waits: as long as for any answer of a back end that listens. A probe that
-/// gives up too early takes a daemon out for one more probe.
 inline constexpr Duration kReadinessProbeTimeout = kResponseTimeout;
-/// A daemon that is back stays for at least this long: routers, who need two questions half a
-/// second apart, see each change, and none more often than each other second.
+/// Minimum time for which a daemon stays ready. Routers query readiness every 500 ms and act on two
+/// equal results.
 inline constexpr Duration kMinReadyTime = 2000ms;
-/// Services that had an opening here within this time are those that the daemon has to serve.
+/// Only services with a connection attempt within this time count for readiness.
 inline constexpr Duration kActiveServiceWindow = 10s;
-/// A gap between ticks, 200 ms apart, in which probes may have run out unread.
+/// After a longer gap between ticks, probes may have timed out with their results unread.
 inline constexpr Duration kReadinessStallGap = 400ms;
-/// Bound of what is remembered.
+/// Maximum number of backends that are tracked as unresponsive.
 inline constexpr std::size_t kMaxUnansweredTracked = 256;
 
-// Back ends that die together; see docs/design/011-failure-domains.md.
+// Groups of backends that fail together; see docs/design/011-failure-domains.md.
 
-/// Distinct members of a group that take no connection, while none answers, before the rest comes
-/// last: of a group with a third of its members dead three drawn ones are so once in 27 times.
+/// Number of distinct members that must fail to accept a connection, while none responds, before
+/// the group is deprioritized.
 inline constexpr std::size_t kGroupUnreachableThreshold = 4;
-/// How often one member is tried again by a probe, and how long a verdict holds without news: two
-/// probes may be lost.
+/// Interval at which one member is probed again, and lifetime of the unreachable state without a
+/// new probe result.
 inline constexpr Duration kGroupProbeInterval = 500ms;
 inline constexpr Duration kGroupUnreachableTtl = 1500ms;
-/// How long a probe of a member waits. A verdict of a group is not taken back as soon as one that
-/// says that nothing is reached, so it waits twice as long.
 inline constexpr Duration kGroupProbeTimeout = 2 * kReadinessProbeTimeout;
-/// How often other daemons can have one group probed, and the groups of one notice: four
-/// connections a second for each, whoever asks.
+/// Minimum time between two probes of one group that are caused by notices of other daemons, and
+/// maximum number of groups in a notice.
 inline constexpr Duration kGroupNoticeInterval = 1000ms;
 inline constexpr std::size_t kMaxGroupsPerNotice = 16;
 
 // Following a peer; see docs/design/005-view-relay.md.
 
-/// The limits below fit changes that have to be in force everywhere within this time.
+/// Time within which a change must be in force on all daemons.
 inline constexpr Duration kChangePropagationDeadline = 3000ms;
-/// A follower whose view may be this old asks other peers; a sign of life comes each kWatchMaxWait.
+/// Age of the view at which a follower queries other peers.
 inline constexpr Duration kPeerQueryViewAge = 1150ms;
-/// A view that may be this old is read from the store. Seeds, which others follow, are earlier, so
-/// that one of them is there before the rest read as well; followers have asked a seed twice by
-/// then. Changes must be in force within 3 s.
+/// Age of the view at which it is read from the store. Seeds read first, so that followers can get
+/// the view from them.
 inline constexpr Duration kSeedReadViewAge = 1200ms;
 inline constexpr Duration kFollowerReadViewAge = 1750ms;
-/// A seed that answers with a view older than kSeedReadViewAge and this has tried the store and has
-/// not been served: a tick and a short read.
+/// A seed that responds with a view older than kSeedReadViewAge plus this has failed to read the
+/// store.
 inline constexpr Duration kSeedReadAttemptWindow = 250ms;
-/// A follower renews its subscription this often, and is forgotten after the lease.
+/// Interval at which a follower renews its subscription, and lifetime of a subscription that is not
+/// renewed.
 inline constexpr Duration kSubscriptionRenewInterval = 1500ms;
 inline constexpr Duration kSubscriptionLease = 4000ms;
-/// How often a seed whose reading goes well looks for a reader that ranks before it.
+/// Interval at which a seed that reads the store checks for a reader of higher rank.
 inline constexpr Duration kSeedQueryInterval = 2000ms;
-/// Two signs of life without a change are at least this far apart.
+/// Minimum time between two keepalives without a change.
 inline constexpr Duration kMinKeepaliveInterval = 300ms;
-/// How long the relation to a peer's clock is kept after it was last heard in answer.
+/// How long the clock offset of a peer is kept after its last response.
 inline constexpr Duration kClockOffsetTtl = 10s;
 // Outlier detection; see docs/design/006-outlier-detection.md.
 
-/// An answer that a caller has not begun to receive after this long is late. Ten times what a busy
-/// back end with a full queue takes, and below half of any caller's patience.
+/// A response that the client has not begun to receive after this time is late.
 inline constexpr Duration kLateResponseThreshold = 600ms;
-/// So many different daemons have to see late answers within this time.
+/// Number of distinct daemons that must report late responses within kOutlierEvidenceWindow.
 inline constexpr std::size_t kMinOutlierReporters = 2;
 inline constexpr Duration kOutlierEvidenceWindow = 2000ms;
-/// How long a verdict holds without new evidence; then the back end is tried again.
+/// How long an outlier is ejected without new evidence.
 inline constexpr Duration kOutlierEjectionTime = 4000ms;
-/// A daemon with fewer answers for each late one suspects itself and reports nothing.
+/// A daemon with fewer responses per late response may itself be the cause and reports nothing.
 inline constexpr std::uint64_t kMinResponsesPerLate = 3;
-/// Where more than one back end in so many is an outlier, the cause lies elsewhere: none counts.
+/// Outliers are ignored if there is more than one for this many backends.
 inline constexpr std::size_t kMinBackendsPerOutlier = 3;
-/// Bounds of what is remembered and sent; a busy daemon has about 1,000 answers due at a time.
+/// Limits of stored and sent items.
 inline constexpr std::size_t kMaxPendingResponses = 8192;
 inline constexpr std::size_t kMaxObservations = 64;
 inline constexpr std::size_t kMaxReportedOutliers = 64;
 
-/// A back end whose answers take this many times longer than is usual in its service is slow: above
-/// what the spread of answers gives a running mean of a few.
+/// A backend is slow if its mean response time exceeds the typical one of its service by this
+/// factor.
 inline constexpr double kSlowLatencyRatio = 2.0;
-/// A back end counts as slower than that by no more; one that hangs is an outlier.
+/// Upper limit of the factor that is taken into account.
 inline constexpr double kMaxLatencyRatio = 8.0;
 inline constexpr std::uint32_t kMinResponsesForMean = 3;
-/// How long an answer tells about its back end; then it is tried again.
+/// How long a measured response time is used.
 inline constexpr Duration kResponseTimeTtl = 3000ms;
 
 // Tokens that hold an address; see docs/design/007-tokens-that-reach.md.
 
-/// Tokens of so many hosts have to agree on a port. A port that is not theirs fits them once in
-/// 65,536 times.
+/// Number of hosts whose tokens must agree on a port.
 inline constexpr std::size_t kMinHostsForPort = 4;
-/// Hosts that are looked at before the search is given up.
+/// Number of hosts after which the search for the port stops.
 inline constexpr std::size_t kMaxHostsForPort = 16;
-/// Ports of back ends that are tried for a token of an unknown back end.
+/// Number of backend ports that are tried for a token of an unknown backend.
 inline constexpr std::size_t kMaxCandidatePorts = 4;
 
-/// Where more than one registration in so many of a service vanishes without a word, they lapsed.
+/// If more than one in this many registrations of a service vanish unannounced, they are assumed to
+/// have expired.
 inline constexpr std::size_t kMassExpiryRatio = 3;
 
-// Back ends that are cold; see docs/design/010-shifted-work.md.
+// Backends that are warming up; see docs/design/010-shifted-work.md.
 
-/// Share of what a cold back end bears that the fleet means to use. The users' rule allows half as
-/// much again as it bears, and more; what is left is for chance and for daemons not known of.
+/// Share of the warm-up rate limit of a backend that the daemons use together. The remainder
+/// allows for random variation and for unknown daemons.
 inline constexpr double kWarmUpShare = 1.0 / 3;
-/// Openings of a second that the rule counts, and how much further apart they may arrive than they
-/// were sent on.
+/// Window of the warm-up rate limit: one second, and a margin for varying delays.
 inline constexpr Duration kWarmUpWindow = 1100ms;
-/// Daemons that are taken for granted where nobody has counted them: above the users' target of
-/// 750.
+/// Number of daemons that is assumed until they are counted.
 inline constexpr std::uint32_t kMaxFleetSize = 1000;
-/// For how long, twice at most, a count of daemons is remembered; longer than any cut of a day.
+/// A count of daemons is kept for one to two times this duration.
 inline constexpr Duration kFleetCountTtl = 30s;
-/// A tree of followers has grown after this long: each of its levels renews within
-/// kSubscriptionRenewInterval, and a daemon finds one to follow in a few questions.
+/// Time after which a tree of followers is assumed to be complete.
 inline constexpr Duration kFleetCountSettleTime = 6s;
 
-/// Daemons that follow one daemon. Three seeds and two levels below them carry 3,000; each sign of
-/// life takes the processor about 10 us a follower.
+/// Maximum number of followers of one daemon.
 inline constexpr std::size_t kMaxFollowers = 32;
-/// Of those, daemons of one network that is not the followed one's own. Two, so that one may die.
+/// Maximum number of followers from any one other network. Two provide redundancy.
 inline constexpr std::size_t kMaxRemoteFollowers = 2;
-/// Peers that are drawn at random to ask the nearest of them.
+/// Peers that are selected at random to query the nearest of them.
 inline constexpr std::size_t kPeerSampleSize = 8;
-/// Followers that an answer names, so that daemons know of others than the seeds.
+/// Followers that are listed in a response, so that daemons learn of peers other than the seeds.
 inline constexpr std::size_t kAdvertisedPeers = 4;
-/// Items that one update carries; who lacks more asks for the rest part by part, so that a daemon
-/// never sends all of its followers more than this at once. An item has about 100 bytes. A single
-/// change with more, or a listing's, is left out of the log: followers read it from the store.
+/// Maximum number of items in one update. A follower that lacks more requests the rest in parts.
+/// Larger changes are not logged; followers read them from the store. An item has about 100 bytes.
 inline constexpr std::size_t kMaxBatchItems = 128;
-/// Items that a log keeps, about 300 bytes each, and that are passed on at most: 100 KB to each of
-/// kMaxFollowers are over a second of a small machine's link, and bytes between zones cost more
-/// than reads from there on.
+/// Maximum number of items that a log keeps, at about 300 bytes each, and that are relayed.
 inline constexpr std::size_t kMaxLogItems = 1024;
 inline constexpr std::size_t kMaxLogBatches = 256;
 
--- a/src/core/flow_steering.h
+++ b/src/core/flow_steering.h
@@ -1,8 +1,7 @@
 /// @file
-/// The seam between an edge that moves packets and the logic that decides them. Two ways of
-/// steering stand behind it: recorded flows (Balancer), for packets that carry nothing of ours, and
-/// carried tokens (TokenSteering), for formats that return a field which names the back end. See
-/// docs/design/004-carried-token.md.
+/// Interface between packet I/O and routing decisions. Balancer implements it with recorded flows,
+/// for packets without a token. TokenSteering implements it for formats whose packets echo a token
+/// that identifies the backend; see docs/design/004-carried-token.md.
 #pragma once
 
 #include "core/types.h"
@@ -14,10 +13,10 @@
  public:
   virtual ~FlowSteering() = default;
 
-  /// Decides a packet from the fabric.
+  /// Decides how to handle a packet received from the network.
   virtual Verdict onPacket(const PacketSummary& packet, Time now) = 0;
 
-  /// Does all timed work; to be called every kTickInterval.
+  /// Performs timed work. To be called every kTickInterval.
   virtual void onTick(Time now) = 0;
 };
 
--- a/src/core/opening_pacer.h
+++ b/src/core/opening_pacer.h
@@ -1,8 +1,7 @@
 /// @file
-/// Spreads bursts of openings over time. After a mass restart every caller opens its flow again
-/// within a round trip, and what a back end's queue cannot hold it turns away. A back end that has
-/// just been given an opening is passed over for a short while, in favour of others; where all have
-/// been, the opening is left to the caller's own repetition.
+/// Paces connection attempts per backend, so that a burst does not overflow the accept queues.
+/// While a backend is busy, other backends are preferred. If all are busy, the attempt is dropped
+/// and the client retransmits it.
 #pragma once
 
 #include <algorithm>
@@ -15,13 +14,13 @@
 
 class OpeningPacer {
  public:
-  /// @return true where the back end was given an opening only just now.
+  /// @return true while the pacing interval of the backend's last connection attempt lasts.
   bool isBusy(BackendId backend, Time now) const {
     const auto found = availableAt_.find(backend);
     return found != availableAt_.end() && found->second > now;
   }
 
-  /// Notes an opening. @param capacity requests that the back end handles at once.
+  /// Records a connection attempt. @param capacity requests that the backend handles concurrently.
   void onOpening(BackendId backend, std::uint32_t capacity, Time now) {
     Time& freeAt = availableAt_[backend];
     freeAt = std::max(freeAt, now) + kOpeningPacingInterval / capacity;
--- a/src/core/placement_weights.h
+++ b/src/core/placement_weights.h
@@ -1,5 +1,5 @@
 /// @file
-/// Seam to the operator's policy program, which weighs back ends for new flows.
+/// Interface to the operator's policy program, which assigns weights to backends for new flows.
 #pragma once
 
 #include <cstdint>
@@ -14,12 +14,12 @@
  public:
   virtual ~PlacementWeights() = default;
 
-  /// @return the weight of a back end; a back end of twice the weight gets twice the flows, and one
-  /// of weight zero gets none.
+  /// @return the weight of a backend. New flows are distributed in proportion to the weights; a
+  /// backend of weight zero gets none.
   virtual std::uint32_t weightOf(const Registration& registration) = 0;
 };
 
-/// Weighs all back ends alike.
+/// Assigns the same weight to all backends.
 class EqualWeights : public PlacementWeights {
  public:
   std::uint32_t weightOf(const Registration&) override { return kDefaultPlacementWeight; }
--- a/src/core/random.h
+++ b/src/core/random.h
@@ -1,5 +1,5 @@
 /// @file
-/// Source of randomness injected into the core, so that tests and the simulator own it.
+/// Random number source of the core, injected so that tests and the simulator can control it.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
  public:
   virtual ~Random() = default;
 
-  /// @return a uniform value in [0, bound); `bound` is at least one.
+  /// @return a uniformly distributed value in [0, bound). @param bound at least one.
   virtual std::uint64_t below(std::uint64_t bound) = 0;
 };
 
--- a/src/core/token_failure_domains.cc
+++ b/src/core/token_failure_domains.cc
@@ -1,6 +1,6 @@
 /// @file
-/// The part of TokenSteering that tells what it sees to core/domains, and draws back ends for its
-/// probes.
+/// Interaction of TokenSteering with core/domains: reports responses and probe results, and selects
+/// backends to probe.
 #include <algorithm>
 #include <utility>
 
@@ -52,7 +52,7 @@
 }
 
 void TokenSteering::recordDomainResponse(BackendId backend, Time now) {
-  // Back ends of a zone that is taken out may be all that is reached; they serve no opening.
+  // Backends of evacuated zones do not count, because they accept no new flows.
   if (backends_.takesNewFlows(backend)) {
     serving_.OnAnswer(now);
     updateReachability();
--- a/src/core/token_flows.h
+++ b/src/core/token_flows.h
@@ -1,6 +1,6 @@
 /// @file
-/// The flows that pass this daemon, for load figures and repeated openings only: forwarding never
-/// needs them, since packets carry their token. Bounded; the flow idle for longest goes first.
+/// LRU table of the flows that pass this daemon. Used for load statistics and retransmitted
+/// connection attempts only; packets of established flows are routed by their token.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,19 @@
 
 namespace cobaltgauge::core {
 
-/// One flow as this daemon has seen it.
+/// State of a flow as observed by this daemon.
 struct TokenFlow {
   FlowFingerprint fingerprint{0};
   FlowKey key;
   BackendId backend = kNoBackend;
-  Time openedAt{};  ///< When the first opening was placed here; zero where it was not.
+  Time openedAt{};  ///< Time of the first opening packet; zero if not placed here.
   Time lastSeen{};
-  Time dataSentAt{};             ///< When the caller's last new data passed.
-  bool dataAcknowledged = true;  ///< New bytes were acknowledged since.
-  std::uint32_t dataEnd = 0;     ///< Sequence number after the caller's last data.
+  Time dataSentAt{};             ///< Time of the last new data of the client.
+  bool dataAcknowledged = true;  ///< New bytes were acknowledged since then.
+  std::uint32_t dataEnd = 0;     ///< Sequence number after the last data of the client.
   std::uint32_t acknowledgement = 0;
-  bool closed = false;     ///< Its caller has closed it; kept for the packets that follow.
-  bool responded = false;  ///< The caller has shown that the back end responded.
+  bool closed = false;     ///< Closed by the client; kept for trailing packets.
+  bool responded = false;  ///< The client acknowledged a response of the backend.
 };
 
 class TokenFlows {
@@ -34,23 +34,23 @@
   /// @return the flow, or null.
   TokenFlow* find(FlowFingerprint fingerprint);
 
-  /// Adds or replaces a flow and marks it as seen now.
+  /// Adds or replaces a flow and sets its last activity to `now`.
   TokenFlow& put(const TokenFlow& flow, Time now);
 
-  /// Marks a flow as seen now.
+  /// Sets the last activity of a flow to `now`.
   void touch(TokenFlow& flow, Time now);
 
-  /// Marks a flow as closed: it no longer counts as open.
+  /// Marks a flow as closed, so that it is not counted as open.
   void close(TokenFlow& flow);
 
-  /// Forgets flows that were idle for longer than `idle`.
+  /// Removes flows that were idle for longer than `idle`.
   void expire(Time now, Duration idle);
 
-  /// @return how many flows of the back end passed here and are open.
+  /// @return the number of open flows of the backend.
   std::uint32_t openFlowCount(BackendId backend) const;
-  /// @return every back end that has an open flow here.
+  /// @return all backends with open flows.
   std::vector<BackendId> backendsWithFlows() const;
-  /// Forgets every flow of a back end. @return the forgotten flows.
+  /// Removes all open flows of a backend. @return the removed flows.
   std::vector<TokenFlow> removeFlowsOf(BackendId backend);
 
   std::size_t size() const { return index_.size(); }
@@ -64,7 +64,7 @@
   void decrementOpenCount(BackendId backend);
 
   std::size_t capacity_;
-  LruList lruOrder_;  ///< Idle for longest first.
+  LruList lruOrder_;  ///< Least recently active first.
   std::unordered_map<FlowFingerprint, LruList::iterator> index_;
   std::unordered_map<BackendId, std::uint32_t> openCounts_;
   std::uint64_t evictions_ = 0;
--- a/src/core/token_openings.cc
+++ b/src/core/token_openings.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of TokenSteering that decides openings.
+/// Decisions of TokenSteering about connection attempts.
 #include <algorithm>
 
 #include "core/constants.h"
@@ -30,7 +30,7 @@
     return placeOpening(packet, *route, RouteReason::kPlaced, kNoBackend, now);
   }
   if (flow->responded) {
-    // The flow is open. A second back end that answered would take its later packets.
+    // The flow is established. A response of a second backend would redirect its later packets.
     return Drop{DropReason::kStaleOpening};
   }
   outcomes_.OnCopy(flow->fingerprint, now);
@@ -95,7 +95,8 @@
 
 bool TokenSteering::admitOpening(const PacketSummary& packet, const Route& route,
                                  RouteReason reason, Time now) {
-  // A later copy may follow one that another daemon sent on. A stale view may lack back ends.
+  // Another daemon may have forwarded an earlier copy of a retransmission. A stale view may lack
+  // backends.
   const bool isFirst = packet.openingRetransmission == 0 && reason == RouteReason::kPlaced;
   if (admission_ == nullptr || !isFirst) {
     return true;
@@ -114,13 +115,14 @@
     return Drop{DropReason::kStaleView};
   }
   if (decision_.warmingUpCandidates > 0) {
-    // They bear another one soon. Only an opening that was never sent on is refused.
+    // A backend will be below its warm-up rate limit soon. Only an attempt that was never forwarded
+    // is refused.
     const bool isLast = packet.openingRetransmission >= kMaxOpeningRetransmissions &&
                         reason == RouteReason::kPlaced;
     return isLast ? refuse(RefuseReason::kWarmingUp, RefusalCertainty::kNotRun)
                   : Verdict(Drop{DropReason::kPaced});
   }
-  // A repeated opening may have been answered through another daemon before the zones were out.
+  // A retransmission may have been answered through another daemon before the evacuation.
   if (packet.openingRetransmission == 0 && isEvacuated(route)) {
     return refuse(RefuseReason::kEvacuated, RefusalCertainty::kNotRun);
   }
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -13,6 +13,7 @@
 namespace {
 
 constexpr Duration kMaintenanceInterval = 1s;
+
 std::unique_ptr<TokenReach> makeReach(const TokenSteeringOptions& options) {
   if (!options.localAddress) {
     return nullptr;
@@ -68,8 +69,8 @@
   if (!endpoint) {
     return Drop{DropReason::kUnknownToken};
   }
-  // Without an id any back end at the address takes the packet. One that does not hold the flow
-  // resets it, which is right: the flow's own one has ended then.
+  // Without an id, any backend at the address receives the packet. A backend that does not have the
+  // flow resets it, which is correct because the original backend has ended.
   BackendAddress backend;
   backend.endpoint = *endpoint;
   return ForwardToBackend{backend, routes_.version(), RouteReason::kReached, packet.token};
@@ -151,7 +152,7 @@
     if (load_ != nullptr) {
       load_->OnRequest(flow.fingerprint, {backend.service, backend.zone}, now);
     }
-    // Of a flow that was opened elsewhere it is not known what was sent before.
+    // Earlier data of a flow that was opened at another daemon is unknown.
     if (outliers_ != nullptr && flow.openedAt != Time{}) {
       deadlines_.Expect(flow.fingerprint, flow.dataEnd, now);
     }
@@ -191,7 +192,7 @@
 
 std::vector<BackendAddress> TokenSteering::takeProbes(Time now) {
   std::vector<BackendAddress> probes;
-  // Cut off, it would find every back end dead, and reset flows that live.
+  // A partitioned daemon would declare all backends dead and reset working flows.
   if (!health_.hasSuspects() || !serving_.IsServing()) {
     return probes;
   }
@@ -210,7 +211,7 @@
 }
 
 void TokenSteering::onProbe(BackendId backend, ProbeResult result, Time now) {
-  // Silence that proves no death still asks for a look at its neighbours.
+  // An inconclusive timeout still counts for the group of the backend.
   onGroupProbe(backend, result == ProbeResult::kUnproven ? ProbeResult::kTimedOut : result, now);
   if (!serving_.IsServing() && result != ProbeResult::kConnected) {
     health_.onProbe(backend, ProbeResult::kRefused, now);
--- a/src/core/token_steering.h
+++ b/src/core/token_steering.h
@@ -1,12 +1,11 @@
 /// @file
-/// Steers packets by the token they carry. A packet of an open flow goes where its token says, at
-/// any daemon and without state; only openings need a decision. See
-/// docs/design/004-carried-token.md.
+/// Routes packets by the token they carry. Any daemon can route a packet of an established flow
+/// without state; only connection attempts need a decision. See docs/design/004-carried-token.md.
 ///
 /// Invariants:
-///  - An open flow is never moved, and reset only where its back end has ended, or was silent and
-///    failed a probe, or a configuration dropped its route.
-///  - A refusal of an opening is given only by a view that is known to be current.
+///  - An established flow is never moved to another backend. It is reset only if its backend has
+///    ended, its backend was unresponsive and failed a probe, or its route was removed.
+///  - A connection attempt is refused only if the view is known to be current.
 #pragma once
 
 #include <memory>
@@ -37,124 +36,125 @@
 
 namespace cobaltgauge::core {
 
-/// Sizes and times of a TokenSteering.
+/// Options of TokenSteering.
 struct TokenSteeringOptions {
   std::uint64_t hashSeed = 0;
   std::size_t flowEntries = 1U << 16U;
   Duration flowIdleTimeout = std::chrono::seconds(15);
-  Duration longestFlow = std::chrono::seconds(60);  ///< No flow gets older.
-  std::uint64_t daemonId = 0;                       ///< Tells daemons apart.
-  bool resetDeadFlows = true;  ///< Else a proof of death steers new flows only.
-  /// An address of this daemon; tokens hold addresses that lie near it. None: tokens are hashes.
+  Duration longestFlow = std::chrono::seconds(60);  ///< Maximum age of a flow.
+  std::uint64_t daemonId = 0;                       ///< Unique per daemon.
+  bool resetDeadFlows = true;  ///< If false, dead backends only get no new flows.
+  /// Address of this daemon. Tokens encode backend addresses relative to it; without it, tokens are
+  /// hashes.
   std::optional<IpAddress> localAddress;
 };
 
-/// How an opening was decided, for logs.
+/// Details of the decision about a connection attempt, for logs.
 struct OpeningDecision {
   std::string route;
   BackendId backend = kNoBackend;
-  std::uint32_t openFlows = 0;     ///< On the back end, as far as seen here.
-  std::size_t candidates = 0;      ///< Back ends that could have been chosen.
-  std::size_t slowCandidates = 0;  ///< Of those that were compared: passed over for their answers.
-  std::size_t warmingUpCandidates =
-      0;                 ///< Of those that were compared: cold, and given all they bear.
-  bool spilled = false;  ///< Left the preferred zone for want of room.
-  ConfigurationVersion version = 0;  ///< Of the routes that decided.
+  std::uint32_t openFlows = 0;          ///< Open flows of the backend that passed this daemon.
+  std::size_t candidates = 0;           ///< Backends that could be selected.
+  std::size_t slowCandidates = 0;       ///< Compared backends that were too slow.
+  std::size_t warmingUpCandidates = 0;  ///< Compared backends at their warm-up rate limit.
+  bool spilled = false;                 ///< Left the preferred zone for lack of capacity.
+  ConfigurationVersion version = 0;     ///< Version of the routes.
 };
 
-/// Takes the times that a steering sees; for histograms.
+/// Receives latencies measured by TokenSteering, for histograms.
 class LatencyObserver {
  public:
   virtual ~LatencyObserver() = default;
-  /// From placing an opening to the caller's first packet that shows an answer.
+  /// Time from a connection attempt to the first packet of the client that confirms a response.
   virtual void onOpeningResponse(Duration latency) = 0;
-  /// From a caller's new data to its first acknowledgement of new bytes.
+  /// Time from new data of a client to its next acknowledgement of new bytes.
   virtual void onDataAcknowledged(Duration latency) = 0;
 };
 
 class TokenSteering : public FlowSteering {
  public:
-  /// @param weights outlives the steering.
+  /// @param weights must outlive this object.
   TokenSteering(const TokenSteeringOptions& options, PlacementWeights& weights, Random& random);
 
-  /// @param observer outlives the steering; null for none.
+  /// @param observer null for none; must outlive this object.
   void setLatencyObserver(LatencyObserver* observer) { latencyObserver_ = observer; }
 
   Verdict onPacket(const PacketSummary& packet, Time now) override;
   void onTick(Time now) override;
 
-  /// Says whether the view is complete, whether it is in step with the store, as far as this
-  /// daemon can know, and whether it holds every back end. Openings are placed only by a complete
-  /// view; that there is no back end or no room is said only by a whole one.
+  /// Sets the state of the view. @param complete required to place connection attempts.
+  /// @param current the view is synchronized with the store. @param coversAllBackends the view is
+  /// not a sample; required to refuse for lack of backends or capacity.
   void setViewState(bool complete, bool current, bool coversAllBackends = true) {
     viewComplete_ = complete;
     viewCurrent_ = current;
     viewCoversAllBackends_ = coversAllBackends;
   }
   bool hasCompleteView() const { return viewComplete_; }
-  /// Call after the view has changed: flows of back ends whose address another one has taken are
-  /// given up at once, so that the next request on an idle one opens elsewhere and is not lost.
+  /// To be called after the view has changed. Resets idle flows of backends whose address was
+  /// reassigned, so that no further request is sent on them.
   void onViewChanged() {
     discardRestartedBackends();
     resetFlowsOfEndedBackends();
   }
-  /// Call after the process was suspended: openings that waited meanwhile have been sent again,
-  /// and a late second answer would break their flow. They are dropped until onQueueDrained().
+  /// To be called after the process was suspended. Connection attempts are dropped until
+  /// onQueueDrained(), because clients have retransmitted the queued ones and a second response
+  /// would break the flow.
   void onResume();
-  /// Call when every packet that waited has been handled.
+  /// To be called when all queued packets have been processed.
   void onQueueDrained() { openingsAreStale_ = false; }
 
-  /// Says how many daemons there are; too high a number is the safe side.
+  /// Sets the number of daemons. Must not be too low.
   void setFleetSize(std::uint32_t daemons) { warmUpBudget_.SetFleet(daemons); }
 
-  /// @return back ends whose address should be connected to; answer each by onProbe().
+  /// @return backends to probe by a connection. Each requires a call of onProbe().
   std::vector<BackendAddress> takeProbes(Time now);
   void onProbe(BackendId backend, ProbeResult result, Time now);
-  /// @return back ends to be connected to, to learn whether any is reached; answer each by
+  /// @return backends to probe in order to find whether any is reachable. Each requires a call of
   /// onReachabilityProbe().
   std::vector<BackendAddress> takeReachabilityProbes(Time now);
   void onReachabilityProbe(BackendId backend, ProbeResult result, Time now);
-  /// @return back ends to be connected to, to learn whether all of their group are gone; answer
-  /// each by onGroupProbe().
+  /// @return backends to probe in order to find whether their whole group is unreachable. Each
+  /// requires a call of onGroupProbe().
   std::vector<BackendAddress> takeGroupProbes(Time now);
   void onGroupProbe(BackendId backend, ProbeResult result, Time now);
-  /// Takes what another daemon found of groups.
+  /// Processes a notice of another daemon about unreachable groups.
   void onGroupNotice(const GroupNotice& notice, Time now);
   SilentGroups& silentGroups() { return silentGroups_; }
   const SilentGroups& silentGroups() const { return silentGroups_; }
   ServingReadiness& serving() { return serving_; }
   const ServingReadiness& serving() const { return serving_; }
-  /// @return addresses to be connected to beside a back end that is probed.
+  /// @return addresses to connect to in addition to the probed backend, for comparison.
   std::vector<Endpoint> witnessesFor(BackendId suspect, Time now);
-  /// Told of answers and of late ones, and asked which back ends come last. Outlives the steering;
-  /// null for none.
+  /// Sets the outlier detector, which receives responses and late responses and determines which
+  /// backends are deprioritized. Null for none; must outlive this object.
   void setOutliers(OutlierDetector* outliers) {
     outliers_ = outliers;
     outlierDemotion_.SetDetector(outliers);
   }
-  /// Decides which openings leave a zone for want of room; give it the sources of figures.
+  /// Decides which connection attempts leave a zone for lack of capacity. The caller adds the
+  /// sources of load statistics.
   ZoneSpill& spill() { return spill_; }
   const ZoneSpill& spill() const { return spill_; }
-  /// Adds a reason to put back ends last for new flows; outlives the steering.
+  /// Adds a rule that deprioritizes backends for new flows; must outlive this object.
   void addDemotion(Demotion& demotion) { chooser_.AddDemotion(demotion); }
 
-  /// Asked which openings are refused while back ends are full. Outlives the steering; null for
-  /// none.
+  /// Sets the admission control for overloaded backends. Null for none; must outlive this object.
   void setAdmission(RankAdmission* admission) { admission_ = admission; }
 
-  /// Told of requests, openings and their ends. Outlives the steering.
+  /// Sets the receiver of requests, connection attempts and their ends. Must outlive this object.
   void setLoadMeter(LoadMeter* load) {
     load_ = load;
     addOpeningListener(load);
   }
-  /// Told of the end of each opening that was placed here. Outlives the steering.
+  /// Adds a listener for the outcomes of connection attempts placed here. Must outlive this object.
   void addOpeningListener(OpeningListener* listener) { outcomes_.AddListener(listener); }
 
-  /// @return the port of the back ends where it was found out since the last call: packets with
-  /// unknown tokens may be decided again.
+  /// @return the port of the backends, if it was discovered since the last call. Packets with
+  /// unknown tokens can then be routed.
   std::optional<std::uint16_t> takeDiscoveredPort();
 
-  /// @return flows whose callers are to be told that their back end is gone.
+  /// @return flows that are to be reset at their clients because the backend is gone.
   std::vector<FlowReset> takeResets();
 
   BackendRegistry& backends() { return backends_; }
@@ -166,52 +166,52 @@
   const TokenFlows& flows() const { return flows_; }
   const BackendHealth& health() const { return health_; }
   const OpeningOutcomes& outcomes() const { return outcomes_; }
-  /// @return how the last opening was decided.
+  /// @return details of the last decision about a connection attempt.
   const OpeningDecision& lastDecision() const { return decision_; }
 
  private:
   Verdict steerOpening(const PacketSummary& packet, Time now);
   Verdict steerEstablished(const PacketSummary& packet, Time now);
-  /// Decides a packet of an open flow whose back end is in no view.
+  /// Routes a packet of an established flow whose backend is not in the view.
   Verdict steerUnknownBackend(const PacketSummary& packet);
   Verdict forwardRetransmission(TokenFlow& flow, Time now);
   Verdict placeOpening(const PacketSummary& packet, RouteEntry& route, RouteReason reason,
                        BackendId avoided, Time now);
-  /// @return what an opening gets where no back end of its route takes flows.
+  /// @return the verdict for a connection attempt if no backend of its route accepts flows.
   Verdict verdictWithoutBackend(const PacketSummary& packet, const Route& route, RouteReason reason,
                                 Time now);
-  /// @return false for an opening that is to be refused, of which no copy was ever sent on.
+  /// @return false if a connection attempt is to be refused. No copy of it has been forwarded.
   bool admitOpening(const PacketSummary& packet, const Route& route, RouteReason reason, Time now);
-  /// @return true where operators have taken out zones of the route's back ends.
+  /// @return true if operators have evacuated zones of the route's backends.
   bool isEvacuated(const Route& route) const;
   void observePacket(const PacketSummary& packet, const BackendAddress& backend, Time now);
-  /// Notes that the back end of a flow answered. @param backend that of the flow.
+  /// Records a response of a flow's backend. @param backend the backend of the flow.
   void recordResponse(TokenFlow& flow, const BackendAddress& backend, Time now);
   void recordDomainResponse(BackendId backend, Time now);
-  /// Takes back what was believed of back ends where this daemon was cut off from all.
+  /// Clears the health states of backends if the readiness of this daemon has changed.
   void updateReachability();
-  /// @return all of a group that take new flows.
+  /// @return all members of a group that accept new flows.
   std::vector<BackendId> groupMembers(const BackendGroup& group);
-  /// @param backend that of the flow.
+  /// Records data sent by the client. @param backend the backend of the flow.
   void recordData(const PacketSummary& packet, TokenFlow& flow, const BackendAddress& backend,
                   Time now);
-  /// Notes that nothing is in flight on a flow any more.
+  /// Records that a flow has no requests in flight any more.
   void recordFlowEnd(FlowFingerprint flow);
-  /// Reports back ends whose answers are overdue.
+  /// Reports backends with overdue responses to the outlier detector.
   void reportLateResponses(Time now);
-  /// @return the flows, which count for nothing any more.
+  /// Removes all open flows of a backend. @return the removed flows.
   std::vector<TokenFlow> discardFlowsOf(BackendId backend);
   void resetFlowsOf(BackendId backend, RefuseReason reason);
   void resetFlowsOfEndedBackends();
-  /// Forgets what was seen of earlier runs of back ends. Their flows ended with them, and are left
-  /// for the back ends to reset: some may have been opened at the new run already.
+  /// Removes the state of earlier incarnations of backends. Their flows are left to the backends to
+  /// reset, since some may belong to the new incarnation.
   void discardRestartedBackends();
   Verdict refuse(RefuseReason reason, RefusalCertainty certainty) const;
   Verdict forward(const BackendAddress& backend, RouteReason reason) const;
 
   TokenSteeringOptions options_;
   Random& random_;
-  std::unique_ptr<TokenReach> reach_;  ///< Null: tokens are hashes.
+  std::unique_ptr<TokenReach> reach_;  ///< Null if tokens are hashes.
   BackendRegistry backends_;
   RouteTable routes_;
   TokenFlows flows_;
@@ -221,7 +221,8 @@
   SilentGroups silentGroups_;
   OpeningPacer pacer_;
   WarmUpBudget warmUpBudget_;
-  std::unordered_map<Endpoint, Time, EndpointHash> emptySince_;  ///< Routes without back ends.
+  std::unordered_map<Endpoint, Time, EndpointHash>
+      emptySince_;  ///< Start time, by route without backends.
   std::vector<FlowReset> resets_;
   VerdictCounters counters_;
   OpeningDecision decision_;
--- a/src/core/types.h
+++ b/src/core/types.h
@@ -1,6 +1,6 @@
 /// @file
-/// Plain value types shared by the whole decision core: identities, flow keys and packet summaries.
-/// Nothing here depends on sockets, clocks or any library of the edges.
+/// Value types of the core: identifiers, flow keys and packet summaries. They depend on no sockets,
+/// clocks or external libraries.
 #pragma once
 
 #include <array>
@@ -11,12 +11,12 @@
 
 namespace cobaltgauge::core {
 
-/// Time since an arbitrary epoch of a clock that never goes back and counts suspended time.
-/// Always passed in by the caller; the core never reads a clock.
+/// Time since an arbitrary epoch of a monotonic clock that includes suspended time. It is passed
+/// in by the caller; the core never reads a clock.
 using Time = std::chrono::microseconds;
 using Duration = std::chrono::microseconds;
 
-/// An IPv4 or IPv6 address. IPv4 occupies the first four bytes, the rest are zero.
+/// An IPv4 or IPv6 address. IPv4 occupies the first four bytes; the rest are zero.
 struct IpAddress {
   std::array<std::uint8_t, 16> bytes{};
   bool isV6 = false;
@@ -32,7 +32,7 @@
   auto operator<=>(const Endpoint&) const = default;
 };
 
-/// Transport protocols that a service may use; values are the IANA protocol numbers.
+/// Transport protocols of services; the values are IANA protocol numbers.
 enum class Protocol : std::uint8_t { kTcp = 6, kUdp = 17 };
 
 /// The five-tuple that identifies a flow.
@@ -44,37 +44,37 @@
   auto operator<=>(const FlowKey&) const = default;
 };
 
-/// What the transport header says about a packet's place in its flow. UDP always gives kUnknown.
+/// Position of a packet in its flow according to the transport header. Always kUnknown for UDP.
 enum class PacketKind : std::uint8_t { kUnknown, kOpening, kContinuing, kClosing };
 
-/// Names a back end in a field that both ends of a flow return in every packet.
+/// Identifies a backend in a field that both ends of a flow echo in every packet.
 enum class SteeringToken : std::uint32_t {};
 inline constexpr SteeringToken kNoToken{0};
 
-/// All that the core needs to know of a packet.
+/// The packet fields that the core uses.
 struct PacketSummary {
   FlowKey flow;
   PacketKind kind = PacketKind::kUnknown;
   std::uint32_t length = 0;  ///< Inner packet length in bytes.
-  // Only packets whose format carries a token have the fields below.
+  // The fields below are set only for packet formats that carry a token.
   SteeringToken token = kNoToken;
-  std::uint32_t openingRetransmission = 0;  ///< How often the caller has sent this opening before.
-  std::uint32_t acknowledgement = 0;        ///< Bytes of the back end that the caller has received.
-  std::uint32_t sequence = 0;               ///< Of the first byte of data.
-  std::uint32_t dataLength = 0;             ///< Bytes of data.
+  std::uint32_t openingRetransmission = 0;  ///< Number of earlier copies from the client.
+  std::uint32_t acknowledgement = 0;        ///< Last acknowledgement number of the client.
+  std::uint32_t sequence = 0;               ///< Sequence number of the first data byte.
+  std::uint32_t dataLength = 0;             ///< Data length in bytes.
 };
 
-/// Keyed 64-bit hash of a flow key. Zero is never a fingerprint.
+/// Keyed 64-bit hash of a flow key. Never zero.
 enum class FlowFingerprint : std::uint64_t {};
-/// Hash of a service's name; stable across configuration versions.
+/// Hash of a service name; stable across configuration versions.
 enum class ServiceId : std::uint32_t {};
-/// Hash of (service, endpoint, incarnation). Two incarnations of one host never share it.
+/// Hash of (service, endpoint, incarnation); differs between incarnations of one host.
 enum class BackendId : std::uint64_t {};
-/// Hash of a region's name; zero where it is not known.
+/// Hash of a region name; zero if unknown.
 enum class RegionId : std::uint32_t {};
-/// Hash of a zone's name; zero where it is not known.
+/// Hash of a zone name; zero if unknown.
 enum class ZoneId : std::uint32_t {};
-/// Hash of a daemon's name.
+/// Hash of a daemon name.
 enum class MemberId : std::uint64_t {};
 
 inline constexpr BackendId kNoBackend{0};
@@ -82,7 +82,7 @@
 inline constexpr RegionId kNoRegion{0};
 inline constexpr ZoneId kNoZone{0};
 
-/// Number of an accepted configuration; versions only rise. Zero means "none yet".
+/// Version number of an accepted configuration; increases monotonically. Zero means none.
 using ConfigurationVersion = std::uint64_t;
 
 }  // namespace cobaltgauge::core
--- a/src/core/verdict.h
+++ b/src/core/verdict.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the core decides about a packet.
+/// Decisions of the core about packets.
 #pragma once
 
 #include <array>
@@ -11,76 +11,76 @@
 
 namespace cobaltgauge::core {
 
-/// Which rule chose a back end.
+/// The rule that selected a backend.
 enum class RouteReason : std::uint8_t {
-  kKnownFlow,      ///< The local flow table knows the flow.
-  kSettledBucket,  ///< No earlier flow can be in the bucket.
+  kKnownFlow,      ///< The local flow table contains the flow.
+  kSettledBucket,  ///< The bucket cannot contain earlier flows.
   kNewFlow,        ///< The packet opens a flow (TCP SYN).
-  kHomeRecord,     ///< The home holds a record of the flow.
-  kHomeOldFlow,    ///< The home assumes an old flow while listing is under way.
-  kHomeNewFlow,    ///< The home knows all old flows; this one is new.
-  kCarriedToken,   ///< The packet carries the token of its back end.
-  kPlaced,         ///< The packet opens a flow; the back end was chosen by weight and load.
-  kRepeated,       ///< A repeated opening; goes where the first one went.
-  kReplaced,       ///< A repeated opening; the first back end is suspected to be silent.
-  kReached,        ///< No view knows the back end; the token holds its address.
+  kHomeRecord,     ///< The home has a record of the flow.
+  kHomeOldFlow,    ///< The home assumes an existing flow during listing.
+  kHomeNewFlow,    ///< The home has all records; the flow is new.
+  kCarriedToken,   ///< The packet carries the token of its backend.
+  kPlaced,         ///< The packet opens a flow; selected by weight and load.
+  kRepeated,       ///< A retransmitted opening; sent to the same backend.
+  kReplaced,       ///< A retransmitted opening; the first backend is suspected or leaving.
+  kReached,        ///< The backend is unknown; its address is in the token.
 };
 inline constexpr std::size_t kRouteReasons = 11;
 
 /// Why a packet was dropped.
 enum class DropReason : std::uint8_t {
   kNoService,        ///< No service has this address, protocol and port.
-  kNoConfiguration,  ///< No configuration was accepted yet.
-  kFenced,           ///< The process was suspended and waits for a fresh view.
-  kTooManyHops,      ///< Passed between daemons too often.
-  kHomeSyncing,      ///< The home waits for records; the sender must retry.
-  kUnknownToken,     ///< No back end known here has the token; it may be newer than the view.
-  kStaleView,        ///< The opening cannot be placed, and the view may be out of date.
-  kStaleOpening,     ///< The opening waited while the process was suspended; it was sent again.
-  kPaced,            ///< Every back end was just given an opening; the caller repeats this one.
-  kEmptyService,     ///< No back end yet, or just now; the caller repeats the opening.
+  kNoConfiguration,  ///< No configuration has been accepted yet.
+  kFenced,           ///< The process was suspended and waits for a current view.
+  kTooManyHops,      ///< Forwarded between daemons too often.
+  kHomeSyncing,      ///< The home waits for records; the sender retries.
+  kUnknownToken,     ///< No known backend has the token; the view may be out of date.
+  kStaleView,        ///< No backend is available, and the view may be out of date.
+  kStaleOpening,     ///< Queued during a suspension, or the flow is established.
+  kPaced,            ///< Every backend is paced; the client retransmits.
+  kEmptyService,     ///< No backend at the moment; the client retransmits.
 };
 inline constexpr std::size_t kDropReasons = 10;
 
-/// Why a packet was refused with an answer.
+/// Why a packet was refused with a response to the client.
 enum class RefuseReason : std::uint8_t {
-  kNewFlowRate,   ///< More new flows a second than the service allows.
-  kBackendLimit,  ///< The back end holds as many flows as it may.
-  kNoBackend,     ///< No back end takes new flows.
-  kCutOff,        ///< Records of the flow may be on the other side of a cut.
-  kNoRoute,       ///< No route in force has this address and port.
-  kRouteDropped,  ///< A configuration dropped the flow's route.
-  kBackendEnded,  ///< The flow's back end has ended; another one uses its address.
-  kBackendDead,   ///< The flow's back end was silent and failed a probe.
-  kEvacuated,     ///< Every back end's zone was taken out by operators.
-  kWarmingUp,     ///< Every back end is cold and was given what it bears.
-  kNoRoom,        ///< The back ends are full, and openings of higher rank go first.
+  kNewFlowRate,   ///< The rate limit of new flows is exceeded.
+  kBackendLimit,  ///< The flow limit of the backend is reached.
+  kNoBackend,     ///< No backend accepts new flows.
+  kCutOff,        ///< A network partition may hide records of the flow.
+  kNoRoute,       ///< No current route has this address and port.
+  kRouteDropped,  ///< The route of the flow was removed.
+  kBackendEnded,  ///< The backend has ended; another one uses its address.
+  kBackendDead,   ///< The backend was unresponsive and failed a probe.
+  kEvacuated,     ///< Operators evacuated the zones of all backends.
+  kWarmingUp,     ///< All backends are at their warm-up rate limits.
+  kNoRoom,        ///< Backends are overloaded; higher priorities are admitted.
 };
 inline constexpr std::size_t kRefuseReasons = 11;
 
-/// Whether a refused request can have been executed.
+/// Whether a refused request may have been executed.
 enum class RefusalCertainty : std::uint8_t {
-  kNotRun,          ///< Provably no copy reached a back end.
-  kOutcomeUnknown,  ///< A copy may have reached a back end.
+  kNotRun,          ///< No copy reached a backend.
+  kOutcomeUnknown,  ///< A copy may have reached a backend.
 };
 
-/// Send the packet to a back end.
+/// Forward the packet to a backend.
 struct ForwardToBackend {
   BackendAddress backend;
   ConfigurationVersion version = 0;
   RouteReason reason = RouteReason::kKnownFlow;
-  SteeringToken token = kNoToken;  ///< To be written into the packet; kNoToken leaves it as it is.
+  SteeringToken token = kNoToken;  ///< Written into the packet unless kNoToken.
 };
 
-/// Send the packet to the daemon that can decide.
+/// Forward the packet to the daemon that can decide.
 struct ForwardToPeer {
   MemberId peer = kNoMember;
   Endpoint destination;
-  std::uint8_t hops = 0;      ///< Hops after this forward.
-  bool wantsListing = false;  ///< The ingress daemon lacks the shard's recorded flows.
+  std::uint8_t hops = 0;      ///< Hop count after this forwarding.
+  bool wantsListing = false;  ///< The ingress daemon lacks the flow records of the shard.
 };
 
-/// Answer the caller at once.
+/// Refuse the packet with a response to the client.
 struct Refuse {
   RefusalForm form = RefusalForm::kNone;
   RefusalCertainty certainty = RefusalCertainty::kOutcomeUnknown;
@@ -88,22 +88,22 @@
   std::chrono::seconds retryAfter{1};
 };
 
-/// Drop the packet and count why.
+/// Drop the packet and count the reason.
 struct Drop {
   DropReason reason = DropReason::kNoService;
 };
 
-/// A refusal without a packet: the flow of a back end that is gone, to be told to its caller.
+/// Reset of a flow whose backend is gone. Sent to the client without a packet to respond to.
 struct FlowReset {
   FlowKey flow;
-  std::uint32_t acknowledgement = 0;  ///< The caller's last one.
+  std::uint32_t acknowledgement = 0;  ///< Last acknowledgement number of the client.
   BackendId backend = kNoBackend;
   RefuseReason reason = RefuseReason::kBackendDead;
 };
 
 using Verdict = std::variant<ForwardToBackend, ForwardToPeer, Refuse, Drop>;
 
-/// How many packets were decided in which way.
+/// Packet counters by verdict.
 struct VerdictCounters {
   std::array<std::uint64_t, kRouteReasons> routed{};    ///< By RouteReason.
   std::array<std::uint64_t, kDropReasons> dropped{};    ///< By DropReason.
@@ -113,9 +113,9 @@
   void count(const Verdict& verdict);
 };
 
-/// @return true where a newer view may decide the packet otherwise.
+/// @return true if a newer view may change the verdict.
 bool dependsOnView(DropReason reason);
-/// @return true where the packet lacks a back end that may just be registering.
+/// @return true if the packet lacks a backend that may be registering.
 bool awaitsBackend(DropReason reason);
 
 const char* toString(RouteReason reason);
--- a/tests/bench/token_benchmark.cc
+++ b/tests/bench/token_benchmark.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Cost of one decision where packets carry a token: time and allocations. Run by hand; not a test.
+/// Time and allocations per decision for packets that carry a token. Run manually; not a test.
 #include <benchmark/benchmark.h>
 
 #include "bench/allocation_counter.h"
@@ -12,9 +12,9 @@
 using namespace cobaltgauge;
 using namespace std::chrono_literals;
 
-constexpr std::uint32_t kCallers = 1U << 14U;
+constexpr std::uint32_t kClients = 1U << 14U;
 
-/// A daemon with a whole view of one service.
+/// A daemon with a full view of one service.
 class TokenDaemon {
  public:
   explicit TokenDaemon(std::int64_t backends) {
@@ -30,20 +30,20 @@
     steering.setLoadMeter(&meter);
   }
 
-  static core::PacketSummary packetOf(std::uint32_t caller, core::PacketKind kind) {
+  static core::PacketSummary packetOf(std::uint32_t client, core::PacketKind kind) {
     core::PacketSummary packet;
     packet.flow.protocol = core::Protocol::kTcp;
-    packet.flow.source = tests::endpoint(static_cast<std::uint8_t>(caller >> 14U),
-                                         static_cast<std::uint8_t>(caller >> 6U),
-                                         static_cast<std::uint16_t>(1024 + (caller & 63U)));
+    packet.flow.source = tests::endpoint(static_cast<std::uint8_t>(client >> 14U),
+                                         static_cast<std::uint8_t>(client >> 6U),
+                                         static_cast<std::uint16_t>(1024 + (client & 63U)));
     packet.flow.destination = tests::endpoint(90, 1, 443);
     packet.kind = kind;
     return packet;
   }
 
-  core::Verdict open(std::uint32_t caller) {
-    now += 10ms;  // So that no opening is paced.
-    return steering.onPacket(packetOf(caller, core::PacketKind::kOpening), now);
+  core::Verdict open(std::uint32_t client) {
+    now += 10ms;  // Avoids pacing.
+    return steering.onPacket(packetOf(client, core::PacketKind::kOpening), now);
   }
 
   sim::SeededRandom random{1};
@@ -56,9 +56,9 @@
 void establishedFlowPacket(benchmark::State& state) {
   TokenDaemon daemon(state.range(0));
   std::vector<core::PacketSummary> packets;
-  for (std::uint32_t caller = 0; caller < kCallers; ++caller) {
-    daemon.open(caller);
-    packets.push_back(TokenDaemon::packetOf(caller, core::PacketKind::kContinuing));
+  for (std::uint32_t client = 0; client < kClients; ++client) {
+    daemon.open(client);
+    packets.push_back(TokenDaemon::packetOf(client, core::PacketKind::kContinuing));
     packets.back().token = core::HashTokenOf(daemon.steering.lastDecision().backend);
   }
   std::uint32_t next = 0;
@@ -67,7 +67,7 @@
   for (auto _ : state) {
     packets[next].acknowledgement = acknowledged;
     benchmark::DoNotOptimize(daemon.steering.onPacket(packets[next], daemon.now));
-    next = (next + 1) % kCallers;
+    next = (next + 1) % kClients;
     acknowledged += next == 0 ? 1 : 0;
   }
   bench::reportAllocations(state, before);
@@ -76,21 +76,21 @@
 
 void openingPacket(benchmark::State& state) {
   TokenDaemon daemon(state.range(0));
-  std::uint32_t caller = 0;
+  std::uint32_t client = 0;
   const std::uint64_t before = bench::allocations();
   for (auto _ : state) {
-    benchmark::DoNotOptimize(daemon.open(++caller % kCallers));
+    benchmark::DoNotOptimize(daemon.open(++client % kClients));
   }
   bench::reportAllocations(state, before);
 }
 BENCHMARK(openingPacket)->Arg(15)->Arg(120)->Arg(1000)->Arg(5600)->Arg(10'000);
 
-/// While back ends come and go: one leaves and another is back before each opening.
+/// One backend leaves and another returns before each connection attempt.
 void openingPacketAfterBackendChange(benchmark::State& state) {
   TokenDaemon daemon(state.range(0));
   const auto backends = static_cast<std::uint64_t>(state.range(0));
   core::Revision revision = 1'000'000;
-  std::uint32_t caller = 0;
+  std::uint32_t client = 0;
   std::uint64_t gone = 1;
   daemon.steering.backends().remove("b1", ++revision, daemon.now);
   for (auto _ : state) {
@@ -102,19 +102,19 @@
                                    tests::makeRegistration(gone, "web", network, host), ++revision,
                                    daemon.now);
     gone = next;
-    benchmark::DoNotOptimize(daemon.open(++caller % kCallers));
+    benchmark::DoNotOptimize(daemon.open(++client % kClients));
   }
 }
 BENCHMARK(openingPacketAfterBackendChange)->Arg(100)->Arg(1000)->Arg(10'000);
 
-/// After a zone was taken out every list of candidates is collected anew.
+/// Every evacuation of a zone requires all candidate lists to be rebuilt.
 void openingPacketAfterEvacuation(benchmark::State& state) {
   TokenDaemon daemon(state.range(0));
   core::Revision revision = 1'000'000;
-  std::uint32_t caller = 0;
+  std::uint32_t client = 0;
   for (auto _ : state) {
     daemon.steering.backends().putEvacuation("b", "b", ++revision);
-    benchmark::DoNotOptimize(daemon.open(++caller % kCallers));
+    benchmark::DoNotOptimize(daemon.open(++client % kClients));
   }
 }
 BENCHMARK(openingPacketAfterEvacuation)->Arg(120)->Arg(5600);
--- a/tests/core/backend_health_test.cc
+++ b/tests/core/backend_health_test.cc
@@ -42,7 +42,7 @@
   BOOST_TEST(health.takeProbes(kBackendCount, now + core::kProbeRetryInterval).size() == 1U);
 }
 
-// Something asked after the answer hid it, and a living back end's flows were given up.
+// Guards against a request after the response that hides it and lets a live backend appear dead.
 BOOST_AUTO_TEST_CASE(response_during_probe_counts_despite_later_requests) {
   health.onOpening(kBackendA, now);
   now += 200ms;
--- a/tests/core/placement_balance_test.cc
+++ b/tests/core/placement_balance_test.cc
@@ -1,4 +1,4 @@
-// How evenly a fleet of many daemons, each of which sees few flows, loads many back ends.
+// Balance of backend load across many daemons with few flows each.
 #include <cmath>
 #include <map>
 
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kZones = 5;
 
-/// Weighs back ends of the first zone eight to one, as daemons of that zone do.
+/// Assigns backends of the first zone eight times the weight of others, as daemons of that zone do.
 class PreferFirstZoneWeights : public core::PlacementWeights {
  public:
   std::uint32_t weightOf(const core::Registration& registration) override {
@@ -21,7 +21,7 @@
   }
 };
 
-/// Registrations in zones that follow no order of their keys.
+/// Creates registrations in random zones, independent of the order of keys.
 std::vector<core::Registration> makeBackends(std::size_t count, sim::SeededRandom& random) {
   std::vector<core::Registration> backends;
   for (std::size_t i = 0; i < count; ++i) {
@@ -32,7 +32,8 @@
   return backends;
 }
 
-/// Lets that many daemons of the first zone open that many flows each. @return flows by back end.
+/// Opens `flowsEach` flows at each of `daemons` daemons of the first zone. @return flows by
+/// backend.
 std::map<BackendId, double> openFlows(const std::vector<core::Registration>& backends,
                                       std::size_t daemons, std::size_t flowsEach) {
   std::map<BackendId, double> flows;
@@ -61,9 +62,8 @@
 
 BOOST_AUTO_TEST_SUITE(PlacementBalanceTest)
 
-// Each opening compared 32 back ends that follow each other in the order of their keys. One whose
-// neighbours were of other zones was compared with few of its own zone and got up to three times
-// its share (cflc-quotes-large: busiest back end 3.3 times the mean, at random 1.8).
+// Guards against imbalance from comparing backends with adjacent keys, which favors a backend whose
+// neighbors are in other zones.
 BOOST_AUTO_TEST_CASE(placement_is_independent_of_key_order) {
   sim::SeededRandom random(1);
   const std::vector<core::Registration> backends = makeBackends(480, random);
@@ -84,7 +84,7 @@
       variance += (own - mean) * (own - mean) / count;
     }
   }
-  // Placed by chance the variance is the mean; three standard errors above it.
+  // The variance of random placement equals the mean. The bound is three standard errors above.
   BOOST_TEST(variance < mean * (1 + 3 * std::sqrt(2 / count)));
 }
 
--- a/tests/core/token_openings_test.cc
+++ b/tests/core/token_openings_test.cc
@@ -33,7 +33,7 @@
   }
 }
 
-// A sample may hold none of a small service's back ends: that it has none would not be true.
+// A sampled view may lack all backends of a small service, so it must not refuse.
 BOOST_AUTO_TEST_CASE(sampled_view_places_flows_and_refuses_none) {
   steering.setViewState(true, true, false);
   BOOST_TEST((routeReasonOf(open(1)) == RouteReason::kPlaced));
@@ -48,7 +48,7 @@
   BOOST_TEST((refuseReasonOf(open(5)) == RefuseReason::kNoBackend));
 }
 
-/// Weighs the back end with number 1 as `weight`, others as 100.
+/// Assigns `weight` to backend 1 and the default weight to all others.
 class FirstBackendWeight : public core::PlacementWeights {
  public:
   std::uint32_t weight = core::kDefaultPlacementWeight;
@@ -57,7 +57,7 @@
   }
 };
 
-/// Gives back ends of the service "web" nothing.
+/// Assigns weight zero to backends of the service "web".
 class ExcludeWebWeights : public core::PlacementWeights {
  public:
   std::uint32_t weightOf(const core::Registration& registration) override {
@@ -133,9 +133,8 @@
   BOOST_TEST((std::get<core::Refuse>(verdict).certainty == core::RefusalCertainty::kNotRun));
 }
 
-// The store had lost every registration while it was down; back ends were there all the time and
-// registered again within a heartbeat, but openings were refused meanwhile (ptf scale-2), and then
-// thrown at the first that were back (lantern-archive, a day of lapses).
+// Guards against refused connection attempts, and overload of the first backends that registered
+// again, after a store outage in which all registrations expired.
 BOOST_AUTO_TEST_CASE(mass_expired_backends_receive_flows_during_grace_period) {
   removeBackends();
   now += 1s;
@@ -149,7 +148,7 @@
     ++flows[establishFlow(port)];
   }
   BOOST_TEST(flows.size() == 4U);
-  // What has not come back by then is gone.
+  // Backends that did not register again are removed after the grace period.
   now += core::kVanishedBackendGracePeriod;
   for (std::uint16_t port = 20; port <= 29; ++port) {
     now += 100ms;
@@ -165,7 +164,7 @@
   }
 }
 
-// Lapsed back ends were the last word, even where the policy gives all of them nothing.
+// Guards against a refusal when the policy excludes all expired backends of one split target.
 BOOST_AUTO_TEST_CASE(split_uses_another_target_when_policy_excludes_all_expired_backends) {
   core::RouteSet routes = makeRoutes(2, {{1, "web"}});
   routes.routes[0].targets = {{"web", 1}, {"api", 1}};
@@ -186,7 +185,7 @@
   }
 }
 
-// One alone is no lapse, yet it is all that its service has.
+// A single vanished backend is used only if its service has no other.
 BOOST_AUTO_TEST_CASE(only_backend_receives_flows_during_grace_period_after_vanishing) {
   steering.backends().remove(keyOf(1), ++revision, now);
   steering.backends().remove(keyOf(2), ++revision, now);
@@ -217,7 +216,7 @@
   BOOST_TEST((dropReasonOf(open(1)) == DropReason::kEmptyService));
 }
 
-// After all daemons had lost power, back ends turned 600 of 22,000 requests away (ptf scale-2).
+// Guards against overflow of backend queues when many clients connect at once.
 BOOST_AUTO_TEST_CASE(burst_of_openings_is_paced) {
   int placed = 0;
   for (std::uint16_t port = 1; port <= 12; ++port) {
@@ -226,7 +225,7 @@
   BOOST_TEST(placed == 3);
   now += 200ms;
   BOOST_TEST((routeReasonOf(open(12, 1)) == RouteReason::kPlaced));
-  // The last copy is never left to a later one.
+  // The last retransmission is never paced.
   for (std::uint16_t port = 20; port <= 30; ++port) {
     BOOST_TEST(routeReasonOf(open(port, 2)).has_value());
   }
@@ -265,7 +264,7 @@
 BOOST_AUTO_TEST_CASE(retransmitted_opening_stays_on_responsive_backend) {
   const BackendId first = backendOf(open(1));
   now += 50ms;
-  // Another flow proves that the back end lives.
+  // Another flow shows that the backend responds.
   send(2, first, 1, 10);
   send(2, first, 2, 10, 1010);
   now += 150ms;
@@ -282,7 +281,7 @@
   BOOST_TEST((routeReasonOf(again) == RouteReason::kReplaced));
 }
 
-// Openings used to go on to a silent back end: it has the fewest open flows (cflc scale-1).
+// An unresponsive backend has the fewest open flows, but must not be preferred for that.
 BOOST_AUTO_TEST_CASE(unresponsive_backend_gets_no_further_openings) {
   const BackendId unresponsive = backendOf(open(1));
   now += 200ms;
@@ -312,7 +311,7 @@
   BOOST_TEST((routeReasonOf(open(3)) == RouteReason::kPlaced));
 }
 
-// Back ends that took four times as long got as many flows as the others.
+// Guards against slow backends receiving as many flows as the others.
 BOOST_AUTO_TEST_CASE(slow_backend_gets_fewer_new_flows) {
   std::uint32_t data = 1000;
   const auto respondAll = [this, &data](core::Duration firstLatency) {
--- a/tests/core/token_steering_test.cc
+++ b/tests/core/token_steering_test.cc
@@ -20,7 +20,7 @@
   BOOST_TEST((routeReasonOf(verdict) == RouteReason::kCarriedToken));
 }
 
-// The last acknowledgement after a close made the flow count as open for another 15 s.
+// Guards against a trailing acknowledgement that makes a closed flow count as open.
 BOOST_AUTO_TEST_CASE(packets_after_close_do_not_reopen_the_flow) {
   const BackendId backend = establishFlow(1);
   core::PacketSummary close = packet(1, core::PacketKind::kClosing);
@@ -29,7 +29,7 @@
   BOOST_TEST(steering.flows().openFlowCount(backend) == 0U);
   BOOST_TEST((backendOf(send(1, backend, 9, 0)) == backend));
   BOOST_TEST(steering.flows().openFlowCount(backend) == 0U);
-  // A late copy of its opening opens nothing.
+  // A late retransmission of the opening packet does not open a flow.
   now += 300ms;
   BOOST_TEST((dropReasonOf(open(1, 1)) == DropReason::kStaleOpening));
 }
@@ -72,7 +72,7 @@
   BOOST_TEST((backendOf(send(1, backend, 5, 10)) == backend));
 }
 
-// A request to a back end without power ran into its deadline on every flow (cflc scale-1).
+// Guards against requests that run into their deadlines on flows of a failed backend.
 BOOST_AUTO_TEST_CASE(flows_of_unresponsive_backend_are_reset_after_a_failed_probe) {
   const BackendId backend = establishFlow(1);
   send(1, backend, 1, 100);
@@ -145,8 +145,7 @@
   BOOST_TEST((backendOf(send(1, backend, 1, 100)) == backend));
 }
 
-// A leaving back end had stopped listening, and its flows were reset while it still served them
-// (ptf trouble-1, FLOW).
+// A leaving backend may stop listening while it still serves its flows, which must not be reset.
 BOOST_AUTO_TEST_CASE(backend_that_refuses_connections_keeps_its_flows) {
   const BackendId backend = establishFlow(1);
   core::Registration leaving = makeRegistration(static_cast<std::uint64_t>(backend), "web", 1,
@@ -199,8 +198,7 @@
   BOOST_TEST(outliers.GetCounters().LateAnswers == 0U);
 }
 
-// While the store was down, each of 98 daemons found out by itself, by losing openings, which back
-// ends were dead: up to 290 probes a second (ptf-inc-8690).
+// Without a report, every daemon has to lose connection attempts to detect a dead backend.
 BOOST_AUTO_TEST_CASE(dead_backend_is_reported_to_outlier_detector) {
   core::OutlierDetector outliers(1);
   steering.setOutliers(&outliers);
@@ -216,8 +214,7 @@
   BOOST_TEST((report.observations[0].backend == backend));
 }
 
-// An idle flow of a restarted back end met the new one, which holds no such flow: the request on it
-// was lost, and a caller of an unsafe one cannot try again.
+// Guards against lost requests on idle flows of a backend whose address was reassigned.
 BOOST_AUTO_TEST_CASE(idle_flows_of_an_ended_backend_are_reset_on_view_change) {
   const BackendId first = establishFlow(1);
   const auto host = static_cast<std::uint8_t>(static_cast<std::uint64_t>(first));
--- a/tests/support/token_fixtures.h
+++ b/tests/support/token_fixtures.h
@@ -1,5 +1,5 @@
 /// @file
-/// A token steering with a view, and builders of the packets that reach it.
+/// A TokenSteering with a view, and functions that build its packets.
 #pragma once
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;
 
-/// Routes 10.90.0.1:443 to "web" with three back ends; time is the test's.
+/// Routes 10.90.0.1:443 to the service "web" with three backends. Tests advance `now`.
 struct TokenFixture {
   sim::SeededRandom random{1};
   core::EqualWeights weights;
@@ -36,7 +36,7 @@
     steering.backends().put(keyOf(id), registration, ++revision, now);
   }
 
-  /// Registers a back end in a zone.
+  /// Registers a backend in a zone.
   void putBackendInZone(const std::string& zone, std::uint8_t id,
                         const std::string& service = "web") {
     core::Registration registration = makeRegistration(id, service, 1, id);
@@ -44,7 +44,7 @@
     putBackend(id, registration);
   }
 
-  /// Removes the items of all three back ends.
+  /// Removes the registrations of the three backends.
   void removeBackends() {
     for (std::uint64_t id = 1; id <= 3; ++id) {
       steering.backends().remove(keyOf(id), ++revision, now);
@@ -66,14 +66,14 @@
     return steering.onPacket(summary, now);
   }
 
-  /// Opens a flow and lets its caller confirm it. @return its back end.
+  /// Opens a flow and sends the client's acknowledgement. @return the backend.
   core::BackendId establishFlow(std::uint16_t port) {
     const core::BackendId backend = backendOf(open(port));
     send(port, backend, 1, 0);
     return backend;
   }
 
-  /// Sends a packet of an open flow.
+  /// Sends a packet of an established flow.
   core::Verdict send(std::uint16_t port, core::BackendId backend, std::uint32_t acknowledgement,
                      std::uint32_t dataLength, std::uint32_t sequence = 1000) {
     core::PacketSummary summary = packet(port, core::PacketKind::kContinuing);
