--- a/src/core/backend_candidates.cc
+++ b/src/core/backend_candidates.cc
@@ -20,7 +20,7 @@
 
 bool BackendRegistry::isServing(const Entry& entry) const {
   // Of two back ends with one token only the first takes flows.
-  return tokens_.OwnsHash(entry.address.id) && entry.present && !entry.ended &&
+  return tokens_.OwnsHash(entry.address.id) && entry.present && !entry.superseded &&
          entry.registration.state == BackendState::kActive;
 }
 
@@ -110,7 +110,7 @@
 
 bool BackendRegistry::hasVanished(const Entry& entry, Time since) const {
   const bool unannounced = entry.registration.state == BackendState::kActive;
-  return !entry.present && !entry.ended && unannounced && entry.removedAt > since &&
+  return !entry.present && !entry.superseded && unannounced && entry.removedAt > since &&
          !evacuations_.IsEvacuated(entry.registration.zone);
 }
 
--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -29,19 +29,20 @@
   return "invalid";
 }
 
-bool BackendRegistry::knowsFromEarlierEra(const std::string& key, const Registration& registration,
-                                          Revision revision) const {
+bool BackendRegistry::isUnchangedSinceEarlierEra(const std::string& key,
+                                                 const Registration& registration,
+                                                 Revision revision) const {
   const auto known = entries_.find(key);
   if (known == entries_.end() || !known->second.present) {
     return false;
   }
   const Entry& entry = known->second;
   return entry.revision.era < revision.era && entry.revision.number == revision.number &&
-         entry.registration.saysTheSameAs(registration);
+         entry.registration.hasSameContentAs(registration);
 }
 
-bool BackendRegistry::isOlderStatement(const Entry& entry, const Registration& registration,
-                                       Revision revision) {
+bool BackendRegistry::isOlderUpdate(const Entry& entry, const Registration& registration,
+                                    Revision revision) {
   const Registration& known = entry.registration;
   const bool isOfLaterEra = entry.revision.era < revision.era;
   // Where starts are not told, or its item was gone, the numbers may have begun anew.
@@ -53,12 +54,12 @@
     return registration.statement < known.statement;
   }
   // Without numbers, a run that ends is not taken to go on because a copy does not know of its end.
-  const bool takesBackEnd =
+  const bool revertsShutdown =
       known.state == BackendState::kLeaving && registration.state == BackendState::kActive;
-  return takesBackEnd && isOfLaterEra;
+  return revertsShutdown && isOfLaterEra;
 }
 
-RegistryEvent BackendRegistry::put(const std::string& key, const Registration& written,
+RegistryEvent BackendRegistry::put(const std::string& key, const Registration& update,
                                    Revision revision, Time now) {
   const auto known = entries_.find(key);
   const bool isNew = known == entries_.end();
@@ -69,20 +70,20 @@
   if (removal != unknownRemovals_.end() && removal->second.revision >= revision) {
     return RegistryEvent::kNone;
   }
-  const bool isOlder = !isNew && isOlderStatement(known->second, written, revision);
-  if (isOlder && known->second.present) {
+  const bool isOutdated = !isNew && isOlderUpdate(known->second, update, revision);
+  if (isOutdated && known->second.present) {
     return RegistryEvent::kNone;
   }
-  const Registration registration = isOlder ? known->second.registration : written;
+  const Registration registration = isOutdated ? known->second.registration : update;
   ++generation_;
   const std::uint64_t startedBefore = isNew ? 0 : known->second.registration.startedAtMs;
   if (registration.startedAtMs < startedBefore) {
-    // A late write of the run before, which has ended.
+    // A late write of the run before, which has superseded.
     known->second.revision = revision;
     return RegistryEvent::kNone;
   }
   const bool hasRestarted = startedBefore != 0 && registration.startedAtMs > startedBefore;
-  const bool tookFlows = !isNew && takesNewFlows(known->second.address.id);
+  const bool tookNewFlows = !isNew && takesNewFlows(known->second.address.id);
   const bool leaving = registration.state == BackendState::kLeaving;
   if (!isNew && (known->second.registration.service != registration.service ||
                  known->second.registration.endpoint != registration.endpoint)) {
@@ -90,16 +91,16 @@
   }
   Entry& entry = entries_[key];
   const bool sameContent =
-      !isNew && entry.present && entry.registration.saysTheSameAs(registration);
+      !isNew && entry.present && entry.registration.hasSameContentAs(registration);
   // One that a copy lacked may come back after a ghost of the back end that had its address before.
-  const bool isWrittenAgain = !entry.present && entry.firstRevision.era < revision.era;
+  const bool isRewritten = !entry.present && entry.firstRevision.era < revision.era;
   entry.registration = registration;
   entry.address = {registration.id, serviceIdOf(registration.service), registration.endpoint, 0,
                    zoneIdOf(registration.zone)};
   entry.revision = revision;
-  entry.firstRevision = isNew || hasRestarted || isWrittenAgain ? revision : entry.firstRevision;
+  entry.firstRevision = isNew || hasRestarted || isRewritten ? revision : entry.firstRevision;
   entry.present = true;
-  entry.ended = false;
+  entry.superseded = false;
   if (!sameContent) {
     entry.warmUntil = now + registration.warmUpLeft;
     entry.weight = weights_.weightOf(registration);
@@ -110,7 +111,7 @@
   services_[entry.address.service].insert(key);
   endpoints_[registration.endpoint].insert(key);
   tokens_.AddAddress(registration.endpoint);
-  markEnded(registration.endpoint);
+  markSuperseded(registration.endpoint);
   refreshCandidate(entry);
   if (isNew) {
     return RegistryEvent::kAdded;
@@ -119,10 +120,10 @@
     restarted_.push_back(registration.id);
     return RegistryEvent::kRestarted;
   }
-  if (tookFlows && leaving) {
+  if (tookNewFlows && leaving) {
     return RegistryEvent::kLeaving;
   }
-  if (!tookFlows && !leaving) {
+  if (!tookNewFlows && !leaving) {
     return RegistryEvent::kReturned;
   }
   return sameContent ? RegistryEvent::kRefreshed : RegistryEvent::kChanged;
@@ -143,7 +144,7 @@
   }
 }
 
-void BackendRegistry::markEnded(const Endpoint& endpoint) {
+void BackendRegistry::markSuperseded(const Endpoint& endpoint) {
   // A listing gives the back ends of an address in any order.
   const std::set<std::string>& keys = endpoints_[endpoint];
   Revision last = 0;
@@ -153,8 +154,8 @@
   }
   for (const std::string& key : keys) {
     Entry& entry = entries_.at(key);
-    if (!entry.ended && entry.revision < last) {
-      entry.ended = true;
+    if (!entry.superseded && entry.revision < last) {
+      entry.superseded = true;
       refreshCandidate(entry);
     }
   }
@@ -173,15 +174,15 @@
   ++generation_;
   Entry& entry = known->second;
   entry.revision = revision;
-  entry.removalIsDated = true;
+  entry.isRemovalRevisionExact = true;
   if (!entry.present) {
     return RegistryEvent::kNone;
   }
-  depart(key, entry, now);
+  markDeparted(key, entry, now);
   return RegistryEvent::kVanished;
 }
 
-void BackendRegistry::depart(const std::string& key, Entry& entry, Time now) {
+void BackendRegistry::markDeparted(const std::string& key, Entry& entry, Time now) {
   entry.present = false;
   entry.removedAt = now;
   departures_[entry.address.service].emplace_back(now, key);
@@ -201,8 +202,8 @@
     // The removal's own revision is unknown; the listing's is the latest that it can have.
     Entry& entry = entries_.at(key);
     entry.revision = listedAt;
-    entry.removalIsDated = false;
-    depart(key, entry, now);
+    entry.isRemovalRevisionExact = false;
+    markDeparted(key, entry, now);
   }
   return vanished;
 }
@@ -241,38 +242,38 @@
   return key == keys_.end() ? nullptr : &entries_.at(key->second).registration;
 }
 
-const Registration* BackendRegistry::presentAt(const std::string& key) const {
+const Registration* BackendRegistry::findPresent(const std::string& key) const {
   const auto entry = entries_.find(key);
   const bool isPresent = entry != entries_.end() && entry->second.present;
   return isPresent ? &entry->second.registration : nullptr;
 }
 
-bool BackendRegistry::hasEnded(BackendId id) const {
+bool BackendRegistry::isSuperseded(BackendId id) const {
   const auto key = keys_.find(id);
-  return key != keys_.end() && entries_.at(key->second).ended;
+  return key != keys_.end() && entries_.at(key->second).superseded;
 }
 
 bool BackendRegistry::putEvacuation(const std::string& key, const std::string& zone,
                                     Revision revision) {
   const bool isNewer = evacuations_.Put(key, zone, revision);
-  dropCandidates(isNewer);
+  clearCandidatesIf(isNewer);
   return isNewer;
 }
 
 bool BackendRegistry::removeEvacuation(const std::string& key, Revision revision) {
   const bool isNewer = evacuations_.Remove(key, revision);
-  dropCandidates(isNewer);
+  clearCandidatesIf(isNewer);
   return isNewer;
 }
 
 std::vector<std::string> BackendRegistry::retainEvacuations(const std::set<std::string>& keys,
                                                             Revision listedAt) {
-  std::vector<std::string> ended = evacuations_.RetainOnly(keys, listedAt);
-  dropCandidates(!ended.empty());
-  return ended;
+  std::vector<std::string> superseded = evacuations_.RetainOnly(keys, listedAt);
+  clearCandidatesIf(!superseded.empty());
+  return superseded;
 }
 
-void BackendRegistry::dropCandidates(bool changed) {
+void BackendRegistry::clearCandidatesIf(bool changed) {
   if (changed) {
     ++generation_;
     candidates_.clear();
@@ -298,7 +299,7 @@
   candidates_.clear();
 }
 
-void BackendRegistry::reweigh() {
+void BackendRegistry::recomputeWeights() {
   for (auto& [key, entry] : entries_) {
     entry.weight = weights_.weightOf(entry.registration);
   }
@@ -314,7 +315,7 @@
 void BackendRegistry::forgetDeparted(Time now) {
   const std::vector<std::string> over = evacuations_.ExpireLost(now);
   expired_.insert(expired_.end(), over.begin(), over.end());
-  dropCandidates(!over.empty());
+  clearCandidatesIf(!over.empty());
   const std::size_t before = entries_.size() + unknownRemovals_.size();
   for (auto item = entries_.begin(); item != entries_.end();) {
     const Entry& entry = item->second;
@@ -350,9 +351,9 @@
 }
 
 std::vector<StoreChange> BackendRegistry::contentsAfter(const std::string& key,
-                                                        std::size_t most) const {
+                                                        std::size_t limit) const {
   std::vector<StoreChange> changes;
-  for (auto item = entries_.upper_bound(key); item != entries_.end() && changes.size() < most;
+  for (auto item = entries_.upper_bound(key); item != entries_.end() && changes.size() < limit;
        ++item) {
     const Entry& entry = item->second;
     if (entry.present) {
@@ -369,15 +370,16 @@
       continue;
     }
     if (entry.present) {
-      difference.dated.push_back({key, entry.revision, entry.registration});
+      difference.exactChanges.push_back({key, entry.revision, entry.registration});
     } else {
-      auto& removals = entry.removalIsDated ? difference.dated : difference.undated;
+      auto& removals =
+          entry.isRemovalRevisionExact ? difference.exactChanges : difference.boundedRemovals;
       removals.push_back({key, entry.revision, RemovedItem{}});
     }
   }
   for (const auto& [key, removal] : unknownRemovals_) {
     if (removal.revision > have) {
-      difference.dated.push_back({key, removal.revision, RemovedItem{}});
+      difference.exactChanges.push_back({key, removal.revision, RemovedItem{}});
     }
   }
   return difference;
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -42,9 +42,9 @@
 
 /// What a registry holds that is newer than a revision.
 struct RegistryDifference {
-  std::vector<StoreChange> dated;
+  std::vector<StoreChange> exactChanges;
   /// Removals that a listing showed: they happened at some time before their revisions.
-  std::vector<StoreChange> undated;
+  std::vector<StoreChange> boundedRemovals;
 };
 
 class BackendRegistry {
@@ -60,7 +60,7 @@
   void setRegions(const std::map<std::string, std::string>& regionsOfZones);
 
   /// Weighs every back end again, after the policy changed.
-  void reweigh();
+  void recomputeWeights();
 
   /// Takes one item. @return what it changed.
   RegistryEvent put(const std::string& key, const Registration& registration, Revision revision,
@@ -68,8 +68,8 @@
   /// @return true where a listing of a later era shows an item as it was known before: it keeps its
   /// place then, from which others have it. Of a change that would not be so: the number may have
   /// been given out again, to one who says the same after a copy that lacked it.
-  bool knowsFromEarlierEra(const std::string& key, const Registration& registration,
-                           Revision revision) const;
+  bool isUnchangedSinceEarlierEra(const std::string& key, const Registration& registration,
+                                  Revision revision) const;
   /// Notes that an item was removed. @return what it changed.
   RegistryEvent remove(const std::string& key, Revision revision, Time now);
 
@@ -82,7 +82,7 @@
   bool putEvacuation(const std::string& key, const std::string& zone, Revision revision);
   /// Notes that an evacuation's item was removed. @return true where that is newer likewise.
   bool removeEvacuation(const std::string& key, Revision revision);
-  /// Takes a whole listing, as retainOnly() does. @return keys of the evacuations that ended.
+  /// Takes a whole listing, as retainOnly() does. @return keys of the evacuations that superseded.
   std::vector<std::string> retainEvacuations(const std::set<std::string>& keys, Revision listedAt);
   const ZoneEvacuations& evacuations() const { return evacuations_; }
   /// @return keys of evacuations that were lost with a copy of the store and are over since the
@@ -103,15 +103,15 @@
   /// @return the back end, gone or not, or null.
   const BackendAddress* find(BackendId id) const;
   /// @return what is known of a key whose item is in the store, or null.
-  const Registration* presentAt(const std::string& key) const;
+  const Registration* findPresent(const std::string& key) const;
   /// @return back ends that have started again under their ids since the last call.
   std::vector<BackendId> takeRestarted() { return std::exchange(restarted_, {}); }
   /// @return what the back end last said of itself, or null.
   const Registration* registrationOf(BackendId id) const;
   /// @return true where another back end was registered at the same address after this one's last
-  /// word: it has ended. Of two that each wrote after the other came, as where the store takes a
-  /// write seconds late, neither is said to have.
-  bool hasEnded(BackendId id) const;
+  /// word: it has superseded. Of two that each wrote after the other came, as where the store takes
+  /// a write seconds late, neither is said to have.
+  bool isSuperseded(BackendId id) const;
   /// @return true where the back end may be given new flows.
   bool takesNewFlows(BackendId id) const;
 
@@ -143,8 +143,8 @@
 
   /// @return every registration whose item is in the store, as an item.
   std::vector<StoreChange> contents() const;
-  /// @return the first of these, `most` at most, whose keys come after `key`.
-  std::vector<StoreChange> contentsAfter(const std::string& key, std::size_t most) const;
+  /// @return the first of these, `limit` at limit, whose keys come after `key`.
+  std::vector<StoreChange> contentsAfter(const std::string& key, std::size_t limit) const;
   /// @return registrations and removals that are newer than `have`, in any order.
   RegistryDifference changesSince(Revision have) const;
   /// @return a number that rises with every change of what changesSince() and evacuations() tell.
@@ -162,10 +162,10 @@
     Registration registration;
     BackendAddress address;
     Revision revision = 0;
-    Revision firstRevision = 0;  ///< Of its first item that is known.
-    bool present = true;         ///< Its item is in the store.
-    bool ended = false;          ///< Its address belongs to a later back end.
-    bool removalIsDated = true;  ///< Else it happened at some time before `revision`.
+    Revision firstRevision = 0;          ///< Of its first item that is known.
+    bool present = true;                 ///< Its item is in the store.
+    bool superseded = false;             ///< Its address belongs to a later back end.
+    bool isRemovalRevisionExact = true;  ///< Else it happened at some time before `revision`.
     Time removedAt{};
     Time warmUntil{};
     std::uint32_t weight = kDefaultPlacementWeight;
@@ -179,20 +179,20 @@
 
   /// @return true where the back end has said more since: the store took a write late, or came back
   /// from a copy that is older than what it had said.
-  static bool isOlderStatement(const Entry& entry, const Registration& registration,
-                               Revision revision);
+  static bool isOlderUpdate(const Entry& entry, const Registration& registration,
+                            Revision revision);
   PlacementCandidate candidateOf(const Entry& entry) const;
   bool hasVanished(const Entry& entry, Time since) const;
   /// @return true where the back end would take new flows but for an evacuation of its zone.
   bool isServing(const Entry& entry) const;
   bool isCandidate(const Entry& entry) const;
   /// Drops every list of candidates where evacuations have changed.
-  void dropCandidates(bool changed);
-  void markEnded(const Endpoint& endpoint);
+  void clearCandidatesIf(bool changed);
+  void markSuperseded(const Endpoint& endpoint);
   /// @return the back end that is at an address, or was there last, or null.
   const BackendAddress* findLastAt(const Endpoint& endpoint) const;
   /// Notes that an item is no longer in the store.
-  void depart(const std::string& key, Entry& entry, Time now);
+  void markDeparted(const std::string& key, Entry& entry, Time now);
   /// Takes an entry out of where its service and its address lead to it.
   void unlink(const std::string& key, const Entry& entry);
   /// @return the candidates of a service; collected where they have not been.
--- a/src/core/listing_plan.cc
+++ b/src/core/listing_plan.cc
@@ -6,8 +6,8 @@
 namespace {
 
 /// Back ends that a sample holds at least: as many as one opening compares.
-constexpr std::size_t kLeastSample = kPlacementLooks;
-constexpr std::uint32_t kFinePerCoarse = kFineParts / kCoarseParts;
+constexpr std::size_t kMinSampleSize = kPlacementLooks;
+constexpr std::uint32_t kFinePartitionsPerCoarse = kFinePartitions / kCoarsePartitions;
 
 }  // namespace
 
@@ -19,50 +19,51 @@
       return "operators";
     case ListingRange::Kind::kBackends:
       return "backends";
-    case ListingRange::Kind::kBackendsPart:
+    case ListingRange::Kind::kBackendPartition:
       return "backends_part";
   }
   return "invalid";
 }
 
-void ListingPlan::begin(std::optional<std::uint32_t> place) {
-  place_ = place.value_or(0) % kFineParts;
-  goOn({place ? ListingRange::Kind::kOperators : ListingRange::Kind::kEverything});
-  begun_ = false;
+void ListingPlan::begin(std::optional<std::uint32_t> sampleSeed) {
+  finePartition_ = sampleSeed.value_or(0) % kFinePartitions;
+  startRange({sampleSeed ? ListingRange::Kind::kOperators : ListingRange::Kind::kEverything});
+  started_ = false;
 }
 
-void ListingPlan::goOn(const ListingRange& range) {
+void ListingPlan::startRange(const ListingRange& range) {
   range_ = range;
   afterKey_.clear();
   itemsInRange_ = 0;
 }
 
 bool ListingPlan::onPage(std::size_t items, bool hasMore, const std::string& lastKey) {
-  begun_ = true;
+  started_ = true;
   itemsInRange_ += items;
   if (hasMore && !lastKey.empty()) {
     afterKey_ = lastKey;
     // One page of a part is a sample as well.
-    return range_.kind == ListingRange::Kind::kBackendsPart && itemsInRange_ >= kLeastSample;
+    return range_.kind == ListingRange::Kind::kBackendPartition && itemsInRange_ >= kMinSampleSize;
   }
   if (range_.kind == ListingRange::Kind::kOperators) {
-    goOn({ListingRange::Kind::kBackendsPart, kFineParts, place_});
+    startRange({ListingRange::Kind::kBackendPartition, kFinePartitions, finePartition_});
     return false;
   }
-  return range_.kind != ListingRange::Kind::kBackendsPart || widen();
+  return range_.kind != ListingRange::Kind::kBackendPartition || widen();
 }
 
 bool ListingPlan::widen() {
-  if (itemsInRange_ >= kLeastSample) {
+  if (itemsInRange_ >= kMinSampleSize) {
     return true;
   }
   // A coarse part is not tried where it would hold too few as well.
-  const bool coarseWillDo =
-      range_.parts == kFineParts && itemsInRange_ * kFinePerCoarse >= kLeastSample;
-  if (coarseWillDo) {
-    goOn({ListingRange::Kind::kBackendsPart, kCoarseParts, place_ / kFinePerCoarse});
+  const bool isCoarseSufficient = range_.partitions == kFinePartitions &&
+                                  itemsInRange_ * kFinePartitionsPerCoarse >= kMinSampleSize;
+  if (isCoarseSufficient) {
+    startRange({ListingRange::Kind::kBackendPartition, kCoarsePartitions,
+                finePartition_ / kFinePartitionsPerCoarse});
   } else {
-    goOn({ListingRange::Kind::kBackends});
+    startRange({ListingRange::Kind::kBackends});
   }
   return false;
 }
--- a/src/core/listing_plan.h
+++ b/src/core/listing_plan.h
@@ -18,20 +18,20 @@
 
 /// Parts of the keys of back ends, alike in size: the finest that a sampled listing begins with,
 /// and the coarse ones that it goes on with.
-inline constexpr std::uint32_t kFineParts = 256;
-inline constexpr std::uint32_t kCoarseParts = 16;
+inline constexpr std::uint32_t kFinePartitions = 256;
+inline constexpr std::uint32_t kCoarsePartitions = 16;
 
 /// Items that one read of a listing covers.
 struct ListingRange {
   enum class Kind : std::uint8_t {
     kEverything,
-    kOperators,     ///< Routes and evacuations.
-    kBackends,      ///< All back ends.
-    kBackendsPart,  ///< Back ends whose keys lie in one part of `parts`.
+    kOperators,         ///< Routes and evacuations.
+    kBackends,          ///< All back ends.
+    kBackendPartition,  ///< Back ends whose keys lie in one part of `parts`.
   };
   Kind kind = Kind::kEverything;
-  std::uint32_t parts = 1;  ///< kFineParts or kCoarseParts.
-  std::uint32_t part = 0;   ///< Below `parts`, in the order of keys.
+  std::uint32_t partitions = 1;  ///< kFinePartitions or kCoarsePartitions.
+  std::uint32_t partition = 0;   ///< Below `parts`, in the order of keys.
 
   bool operator==(const ListingRange&) const = default;
 };
@@ -40,9 +40,9 @@
 
 class ListingPlan {
  public:
-  /// Begins a listing. @param place of this daemon, whose remainder by kFineParts names its part;
-  /// none: everything is listed.
-  void begin(std::optional<std::uint32_t> place);
+  /// Begins a listing. @param sampleSeed of this daemon, whose remainder by kFinePartitions names
+  /// its part; none: everything is listed.
+  void begin(std::optional<std::uint32_t> sampleSeed);
 
   /// @return what the next read covers.
   const ListingRange& range() const { return range_; }
@@ -53,23 +53,23 @@
   bool onPage(std::size_t items, bool hasMore, const std::string& lastKey);
 
   /// @return true where a page was taken since begin().
-  bool hasBegun() const { return begun_; }
+  bool hasStarted() const { return started_; }
   /// @return true where a listing that is done has covered everything.
-  bool isWhole() const {
+  bool coversAllBackends() const {
     return range_.kind == ListingRange::Kind::kEverything ||
            range_.kind == ListingRange::Kind::kBackends;
   }
 
  private:
-  void goOn(const ListingRange& range);
+  void startRange(const ListingRange& range);
   /// @return true where a part that is read suffices.
   bool widen();
 
-  std::uint32_t place_ = 0;
+  std::uint32_t finePartition_ = 0;
   ListingRange range_;
   std::string afterKey_;
   std::size_t itemsInRange_ = 0;
-  bool begun_ = false;
+  bool started_ = false;
 };
 
 }  // namespace cobaltgauge::core
--- a/src/core/registration.cc
+++ b/src/core/registration.cc
@@ -2,10 +2,10 @@
 
 namespace cobaltgauge::core {
 
-bool Registration::saysTheSameAs(const Registration& other) const {
-  Registration numberedAlike = other;
-  numberedAlike.statement = statement;
-  return *this == numberedAlike;
+bool Registration::hasSameContentAs(const Registration& other) const {
+  Registration withSameStatement = other;
+  withSameStatement.statement = statement;
+  return *this == withSameStatement;
 }
 
 }  // namespace cobaltgauge::core
--- a/src/core/registration.h
+++ b/src/core/registration.h
@@ -31,7 +31,7 @@
 
   bool operator==(const Registration&) const = default;
   /// @return true where only the numbers of the statements may differ.
-  bool saysTheSameAs(const Registration& other) const;
+  bool hasSameContentAs(const Registration& other) const;
 };
 
 /// One service that a route sends flows to.
--- a/src/core/relay/view_difference.cc
+++ b/src/core/relay/view_difference.cc
@@ -55,8 +55,8 @@
   this->Cached = { true,
                    this->Backends.generation(),
                    have,
-                   std::move(difference.undated),
-                   std::move(difference.dated) };
+                   std::move(difference.boundedRemovals),
+                   std::move(difference.exactChanges) };
   // They are few, and a listing may have shown their ends.
   for (StoreChange& change :
        this->Backends.evacuations().GetChangesSince(have)) {
--- a/src/core/relay/view_fill.cc
+++ b/src/core/relay/view_fill.cc
@@ -62,7 +62,7 @@
   if (this->StoreAt == Time{}) {
     this->Begin(peers, now);
   }
-  this->Reader.setFilling(now >= this->StoreAt);
+  this->Reader.setBackfilling(now >= this->StoreAt);
   if (now - this->AskedAt < kPagePatience) {
     return;
   }
@@ -140,7 +140,7 @@
   ViewPage page;
   page.sender = this->Self;
   page.afterKey = request.afterKey;
-  const bool hasPage = this->Reader.isWhole() &&
+  const bool hasPage = this->Reader.hasAllBackends() &&
     this->Reader.revision() >= request.atLeast && this->MayGive(request, now);
   if (hasPage) {
     this->Give(request, page, now);
@@ -225,13 +225,13 @@
 {
   ++this->Counters.PagesTaken;
   for (const ViewBackend& backend : page.backends) {
-    this->Sink.onMissing(toChange(backend), now);
+    this->Sink.onMissingItem(toChange(backend), now);
   }
   if (!page.backends.empty()) {
     this->NextAfter = page.backends.back().key;
   }
   if (page.isLast) {
-    this->Reader.onFilled();
+    this->Reader.markAllBackendsKnown();
     return;
   }
   // Peers do well: the store is left alone.
--- a/src/core/relay/view_fill.h
+++ b/src/core/relay/view_fill.h
@@ -70,7 +70,7 @@
   /// Tell whether a view in use lacks back ends; ticks do nothing else.
   bool IsNeeded() const
   {
-    return this->Reader.isComplete() && !this->Reader.isWhole();
+    return this->Reader.isSynchronized() && !this->Reader.hasAllBackends();
   }
 
   void OnTick(const FillPeers& peers, Time now);
--- a/src/core/relay/view_relay.cc
+++ b/src/core/relay/view_relay.cc
@@ -44,7 +44,7 @@
 void ViewRelay::SetTiming(const RelayTiming& timing)
 {
   this->Timing = timing;
-  this->Reader.setPace(
+  this->Reader.setReadTimings(
     std::chrono::duration_cast<std::chrono::milliseconds>(timing.WatchWait),
     timing.CurrentFor,
     timing.RareTryAfter);
@@ -54,8 +54,8 @@
 {
   this->Seeds.Set(seeds);
   this->OwnRank = RankOf(this->Self, this->Seeds.IsSelfSeed());
-  this->Reader.setCovered(!this->Seeds.IsSelfSeed() &&
-                          this->Seeds.HasOthers());
+  this->Reader.setHasOtherReaders(!this->Seeds.IsSelfSeed() &&
+                                  this->Seeds.HasOthers());
 }
 
 Duration ViewRelay::GetReadLimit() const
@@ -76,17 +76,18 @@
 {
   this->Seeds.OnTick(now);
   const bool isCovered = this->Seeds.IsCovered(now);
-  this->Reader.setCovered(isCovered);
-  this->Reader.setOthersFail(isCovered && this->Seeds.HasFailed(now)
-                               ? std::optional(this->GetTrySpan(peers))
-                               : std::nullopt);
-  this->Reader.setListPause(this->GetListPause(now));
+  this->Reader.setHasOtherReaders(isCovered);
+  this->Reader.setOtherReadersFailing(
+    isCovered && this->Seeds.HasFailed(now)
+      ? std::optional(this->GetTrySpan(peers))
+      : std::nullopt);
+  this->Reader.setMaxRelistDelay(this->GetListPause(now));
   const std::size_t beyondSmall =
     isCovered && peers > kSmallFleetPeers ? peers - kSmallFleetPeers : 0;
   const Duration startBackOff = std::min<Duration>(
     kReadBackOffAtStart + kStartTryForEachPeer * beyondSmall,
     kReadBackOffLongest);
-  this->Reader.setStartBackOff(startBackOff);
+  this->Reader.setStartupBackOff(startBackOff);
 }
 
 Duration ViewRelay::GetListPause(Time now) const
@@ -112,14 +113,14 @@
 {
   this->Reading = true;
   ++this->Counters.ReadingBegan;
-  if (!this->Reader.areOthersFailing()) {
+  if (!this->Reader.areOtherReadersFailing()) {
     return;
   }
   const Duration span = std::min<Duration>(kFirstTryForEachPeer * peers,
                                            this->Timing.RareTryAfter);
   const auto wait =
     this->RandomSource.below(static_cast<std::uint64_t>(span.count()) + 1);
-  this->Reader.putOff(now + Duration(static_cast<Duration::rep>(wait)));
+  this->Reader.deferRead(now + Duration(static_cast<Duration::rep>(wait)));
 }
 
 void ViewRelay::OnTick(const std::vector<Endpoint>& peers, Time now)
@@ -205,13 +206,13 @@
 
 void ViewRelay::OnStoreAnswer(Time now)
 {
-  if (this->Reader.isComplete()) {
+  if (this->Reader.isSynchronized()) {
     this->Log.Close(this->Reader.revision());
   } else if (this->Reader.isCatchingUp()) {
     this->Log.Begin(this->Reader.revision());
   }
   if (this->MayCatchUpByPeers()) {
-    this->Reader.putOff(now + kCatchUpFromPeers);
+    this->Reader.deferRead(now + kCatchUpFromPeers);
     this->AskSeed(now);
   }
   if (this->Reader.confirmedAt() > this->LastConfirmed) {
@@ -230,7 +231,7 @@
 bool ViewRelay::MayCatchUpByPeers() const
 {
   return this->Reader.isCatchingUp() && !this->Reader.isFailing() &&
-    !this->Reader.isViewWanted();
+    !this->Reader.isViewNeeded();
 }
 
 void ViewRelay::StopFollowing()
--- a/src/core/relay/view_relay_followers.cc
+++ b/src/core/relay/view_relay_followers.cc
@@ -31,7 +31,7 @@
   // The tree of a reader that is no seed may be one of many.
   const bool isCounted = !this->Reading || this->Seeds.IsSelfSeed();
   update.daemons = isCounted ? this->Fleet.GetLatest() : 0;
-  if (!this->Reader.isComplete()) {
+  if (!this->Reader.isSynchronized()) {
     return update;
   }
   const auto confirmed = this->Reader.confirmedAt().count();
@@ -61,8 +61,8 @@
     return std::nullopt;
   }
   std::optional<ChangeExcerpt> excerpt = this->Log.Since(have);
-  const bool byView =
-    !excerpt && this->Difference != nullptr && this->Reader.canTellSince(have);
+  const bool byView = !excerpt && this->Difference != nullptr &&
+    this->Reader.canSendChangesSince(have);
   return byView ? this->Difference->Since(have, this->Log.GetComplete())
                 : excerpt;
 }
@@ -87,7 +87,7 @@
 
 void ViewRelay::Push(Time now)
 {
-  if (!this->Reader.isComplete() || this->Leaving) {
+  if (!this->Reader.isSynchronized() || this->Leaving) {
     return;
   }
   std::vector<Endpoint> destinations = this->Followers.List();
--- a/src/core/relay/view_relay_updates.cc
+++ b/src/core/relay/view_relay_updates.cc
@@ -45,7 +45,7 @@
   if (before == 0) {
     // Who has a fresh view has been served just now.
     if (now - *confirmed < this->Timing.AskPeersAfter) {
-      this->Reader.hurry(now);
+      this->Reader.expediteRead(now);
     }
     return UpdateOutcome::kUnusable;
   }
@@ -85,7 +85,7 @@
 bool ViewRelay::Apply(const ViewUpdate& update, Time now)
 {
   const Revision have = this->Reader.revision();
-  if (!this->Reader.takesChanges() || have < update.from) {
+  if (!this->Reader.acceptsChanges() || have < update.from) {
     return false;
   }
   if (update.revision <= have) {
@@ -95,7 +95,7 @@
   if (update.gap.Contains(have)) {
     return false;
   }
-  for (const StoreChange& change : changesOf(update)) {
+  for (const StoreChange& change : toStoreChanges(update)) {
     if (!this->Sink.onChange(change, now)) {
       return false;
     }
@@ -130,7 +130,7 @@
 void ViewRelay::AskForMissing(const Endpoint& sender, Time now)
 {
   // A fleet that starts would get most of the store's items from three seeds.
-  if (!this->Reader.isComplete()) {
+  if (!this->Reader.isSynchronized()) {
     this->ReadWanted = true;
     this->ActivateReader();
     return;
--- a/src/core/route_table.cc
+++ b/src/core/route_table.cc
@@ -9,7 +9,7 @@
 
 /// Versions whose changes are remembered for those who lack them: a storm brings one in 0.3 s, and
 /// nobody is behind for longer than a few seconds.
-constexpr std::size_t kMostVersionsRemembered = 32;
+constexpr std::size_t kMaxRecentDeltas = 32;
 
 std::vector<RegionId> regionsOf(const Route& route) {
   std::vector<RegionId> regions;
@@ -29,7 +29,7 @@
   return static_cast<std::size_t>(backendIdOf(ServiceId{0}, endpoint, 0));
 }
 
-RouteOffer RouteTable::offer(const RouteSet& routes, Time now) {
+RouteOfferResult RouteTable::offer(const RouteSet& routes, Time now) {
   return apply(difference(routes), now);
 }
 
@@ -57,15 +57,15 @@
   return delta;
 }
 
-RouteOffer RouteTable::apply(const RouteDelta& delta, Time now, Revision at) {
+RouteOfferResult RouteTable::apply(const RouteDelta& delta, Time now, Revision at) {
   if (delta.version < version_) {
-    return RouteOffer::kOlder;
+    return RouteOfferResult::kOlder;
   }
   if (delta.version == version_) {
-    return noteWrittenAgain(at) ? RouteOffer::kWrittenAgain : RouteOffer::kUnchanged;
+    return markRewritten(at) ? RouteOfferResult::kRewritten : RouteOfferResult::kUnchanged;
   }
   if (delta.from != version_) {
-    return RouteOffer::kGap;
+    return RouteOfferResult::kGap;
   }
   for (const Route& route : delta.changed) {
     put(route);
@@ -77,43 +77,43 @@
   }
   version_ = delta.version;
   idleTimeout_ = delta.idleTimeout;
-  takeServices(delta.services);
-  remember(delta, at);
-  return RouteOffer::kAccepted;
+  setServices(delta.services);
+  recordDelta(delta, at);
+  return RouteOfferResult::kAccepted;
 }
 
-bool RouteTable::noteWrittenAgain(Revision at) {
+bool RouteTable::markRewritten(Revision at) {
   if (at.era <= changedAt_.era) {
     return false;
   }
   // Who began with the copy has an older version at a later place: to it the whole set is told.
   changedAt_ = at;
-  latest_.clear();
-  rememberedFrom_ = at;
+  recentDeltas_.clear();
+  deltasFrom_ = at;
   return true;
 }
 
-void RouteTable::remember(const RouteDelta& delta, Revision at) {
+void RouteTable::recordDelta(const RouteDelta& delta, Revision at) {
   const bool isFirst = delta.from == 0;
   if (isFirst) {
-    latest_.clear();
-    rememberedFrom_ = at;
+    recentDeltas_.clear();
+    deltasFrom_ = at;
   } else {
-    latest_.emplace_back(at, delta);
+    recentDeltas_.emplace_back(at, delta);
   }
   changedAt_ = at;
-  if (latest_.size() > kMostVersionsRemembered) {
-    rememberedFrom_ = latest_.front().first;
-    latest_.pop_front();
+  if (recentDeltas_.size() > kMaxRecentDeltas) {
+    deltasFrom_ = recentDeltas_.front().first;
+    recentDeltas_.pop_front();
   }
 }
 
 std::optional<std::vector<StoreChange>> RouteTable::deltasSince(Revision have) const {
-  if (have < rememberedFrom_ || rememberedFrom_ == 0) {
+  if (have < deltasFrom_ || deltasFrom_ == 0) {
     return std::nullopt;
   }
   std::vector<StoreChange> changes;
-  for (const auto& [at, delta] : latest_) {
+  for (const auto& [at, delta] : recentDeltas_) {
     if (at > have) {
       changes.push_back({"", at, delta});
     }
@@ -128,11 +128,11 @@
     known->second.regions = regionsOf(route);
     return;
   }
-  const WeightedSplit split(route.targets, startPoint_ ^ EndpointHash{}(route.endpoint));
+  const WeightedSplit split(route.targets, startOffset_ ^ EndpointHash{}(route.endpoint));
   routes_.insert_or_assign(route.endpoint, RouteEntry{route, split, regionsOf(route)});
 }
 
-void RouteTable::takeServices(const std::vector<ServiceTraits>& services) {
+void RouteTable::setServices(const std::vector<ServiceTraits>& services) {
   services_ = services;
   coldOpenings_.clear();
   for (const ServiceTraits& service : services) {
@@ -161,8 +161,9 @@
   return list;
 }
 
-void RouteTable::forgetDropped(Time now, Duration keep) {
-  std::erase_if(dropped_, [now, keep](const auto& item) { return now - item.second >= keep; });
+void RouteTable::forgetDropped(Time now, Duration retention) {
+  std::erase_if(dropped_,
+                [now, retention](const auto& item) { return now - item.second >= retention; });
 }
 
 }  // namespace cobaltgauge::core
--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -22,10 +22,10 @@
 };
 
 /// What became of an offered route set.
-enum class RouteOffer : std::uint8_t {
+enum class RouteOfferResult : std::uint8_t {
   kAccepted,
   kUnchanged,
-  kWrittenAgain,  ///< Unchanged, by a copy of the store that came back without it.
+  kRewritten,  ///< Unchanged, by a copy of the store that came back without it.
   kOlder,
   kGap,  ///< It changes routes of a version that is not in force here.
 };
@@ -42,25 +42,25 @@
 
 class RouteTable {
  public:
-  /// @param startPoint a random number; where the splits of this daemon begin their round, so that
+  /// @param startOffset a random number; where the splits of this daemon begin their round, so that
   /// daemons that start together do not all begin with the same target.
-  explicit RouteTable(std::uint64_t startPoint) : startPoint_(startPoint) {}
+  explicit RouteTable(std::uint64_t startOffset) : startOffset_(startOffset) {}
 
   /// Takes a route set that is newer than the one in force.
-  RouteOffer offer(const RouteSet& routes, Time now);
+  RouteOfferResult offer(const RouteSet& routes, Time now);
 
   /// @return what a route set changes in the one in force; nothing where it is not newer.
   RouteDelta difference(const RouteSet& routes) const;
 
   /// Takes what a version changed in the one in force. @param at the store's revision of it.
-  RouteOffer apply(const RouteDelta& delta, Time now, Revision at = 0);
+  RouteOfferResult apply(const RouteDelta& delta, Time now, Revision at = 0);
 
   /// @return what was taken after `have`, as items with their revisions; nothing where that is not
   /// remembered any more.
   std::optional<std::vector<StoreChange>> deltasSince(Revision have) const;
 
   /// @return true where a listing of a later era shows the version in force as it was known before.
-  bool knowsFromEarlierEra(ConfigurationVersion version, Revision revision) const {
+  bool isUnchangedSinceEarlierEra(ConfigurationVersion version, Revision revision) const {
     return version == version_ && changedAt_.era < revision.era &&
            changedAt_.number == revision.number;
   }
@@ -71,7 +71,7 @@
   bool wasDropped(const Endpoint& endpoint) const { return dropped_.contains(endpoint); }
 
   /// Forgets dropped routes that no flow can belong to any more.
-  void forgetDropped(Time now, Duration keep);
+  void forgetDropped(Time now, Duration retention);
 
   /// @return every route in force.
   std::vector<Route> routes() const;
@@ -86,16 +86,16 @@
 
  private:
   void put(const Route& route);
-  void remember(const RouteDelta& delta, Revision at);
+  void recordDelta(const RouteDelta& delta, Revision at);
   /// Notes where the version in force stands in the store. @return whether that is in a later copy.
-  bool noteWrittenAgain(Revision at);
-  void takeServices(const std::vector<ServiceTraits>& services);
+  bool markRewritten(Revision at);
+  void setServices(const std::vector<ServiceTraits>& services);
 
-  std::uint64_t startPoint_;
+  std::uint64_t startOffset_;
   ConfigurationVersion version_ = 0;
   Revision changedAt_ = 0;
-  std::deque<std::pair<Revision, RouteDelta>> latest_;  ///< Oldest first; bounded.
-  Revision rememberedFrom_ = 0;  ///< Of the version that the oldest of these changed.
+  std::deque<std::pair<Revision, RouteDelta>> recentDeltas_;  ///< Oldest first; bounded.
+  Revision deltasFrom_ = 0;  ///< Of the version that the oldest of these changed.
   std::chrono::milliseconds idleTimeout_{0};
   std::vector<ServiceTraits> services_;
   std::unordered_map<ServiceId, double> coldOpenings_;  ///< Of services that have a bound.
--- a/src/core/store_read.cc
+++ b/src/core/store_read.cc
@@ -18,7 +18,7 @@
       return "connection_lost";
     case ReadOutcome::kMalformed:
       return "malformed";
-    case ReadOutcome::kEraOver:
+    case ReadOutcome::kOutdatedEra:
       return "era_over";
   }
   return "invalid";
@@ -30,7 +30,7 @@
       return "first_listing";
     case StoreRead::Cause::kNextPage:
       return "next_page";
-    case StoreRead::Cause::kListAgain:
+    case StoreRead::Cause::kRelist:
       return "list_again";
     case StoreRead::Cause::kCatchUp:
       return "catch_up";
--- a/src/core/store_read.h
+++ b/src/core/store_read.h
@@ -20,7 +20,7 @@
   enum class Cause : std::uint8_t {
     kFirstListing,  ///< This daemon has no view.
     kNextPage,      ///< A listing goes on.
-    kListAgain,     ///< The store dropped the history that a watch would need.
+    kRelist,        ///< The store dropped the history that a watch would need.
     kCatchUp,       ///< A stale listing is to be brought up to date.
     kGap,           ///< A peer told of changes that only the store can give.
     kRetry,         ///< The last read failed.
@@ -46,7 +46,7 @@
   kTimedOut,        ///< No answer in time.
   kConnectionLost,  ///< Refused, reset or closed.
   kMalformed,       ///< The answer cannot be understood as a whole.
-  kEraOver,         ///< An older copy of the store than one that has answered before.
+  kOutdatedEra,     ///< An older copy of the store than one that has answered before.
 };
 
 const char* toString(ReadOutcome outcome);
@@ -55,8 +55,8 @@
 /// What a read gave.
 struct StoreReply {
   ReadOutcome outcome = ReadOutcome::kAnswered;
-  std::string reason;  ///< Of a failure.
-  Revision at = 0;     ///< The store's revision; of a failure its era alone.
+  std::string reason;     ///< Of a failure.
+  Revision revision = 0;  ///< The store's revision; of a failure its era alone.
   bool hasMore = false;
   std::string lastKey;  ///< Of a listing's page; the next one begins after it.
   std::vector<StoreChange> changes;
--- a/src/core/store_reader.cc
+++ b/src/core/store_reader.cc
@@ -12,14 +12,16 @@
     return std::nullopt;
   }
   // Who watches for others goes on doing so, since their views age meanwhile.
-  const bool pageIsDue = isFilling() && (!active_ || watchedSincePage_);
-  underWay_ = listing_ ? UnderWay::kListing : pageIsDue ? UnderWay::kMissingPage : UnderWay::kWatch;
-  watchedSincePage_ = underWay_ != UnderWay::kMissingPage;
-  switch (underWay_) {
-    case UnderWay::kListing:
+  const bool isBackfillDue = isBackfilling() && (!active_ || watchedSinceBackfill_);
+  pendingRead_ = listing_        ? PendingRead::kListing
+                 : isBackfillDue ? PendingRead::kMissingPage
+                                 : PendingRead::kWatch;
+  watchedSinceBackfill_ = pendingRead_ != PendingRead::kMissingPage;
+  switch (pendingRead_) {
+    case PendingRead::kListing:
       return listingRead();
-    case UnderWay::kMissingPage:
-      return missingPageRead();
+    case PendingRead::kMissingPage:
+      return backfillRead();
     default:
       return watchRead();
   }
@@ -39,12 +41,13 @@
 
 StoreRead StoreReader::listingRead() {
   StoreRead read = listRead(cause(), plan_.range(), plan_.afterKey());
-  read.stale = staleWillDo_;
+  read.stale = allowStale_;
   return read;
 }
 
-StoreRead StoreReader::missingPageRead() {
-  return listRead(StoreRead::Cause::kMissingPage, {ListingRange::Kind::kBackends}, missingAfter_);
+StoreRead StoreReader::backfillRead() {
+  return listRead(StoreRead::Cause::kMissingPage, {ListingRange::Kind::kBackends},
+                  backfillAfterKey_);
 }
 
 StoreRead StoreReader::watchRead() {
@@ -54,7 +57,7 @@
   read.kind = StoreRead::Kind::kWatch;
   read.afterRevision = revision_;
   watchedFrom_ = revision_;
-  read.wait = isFilling() ? kCatchUpWait : watchWait();
+  read.wait = isBackfilling() ? kCatchUpWait : watchWait();
   read.timeout = read.wait + std::max(kWatchSlack, timeoutNow());
   return read;
 }
@@ -64,11 +67,11 @@
     return StoreRead::Cause::kRetry;
   }
   if (listing_) {
-    return plan_.hasBegun() ? StoreRead::Cause::kNextPage
-           : staleWillDo_   ? StoreRead::Cause::kFirstListing
-                            : StoreRead::Cause::kListAgain;
+    return plan_.hasStarted() ? StoreRead::Cause::kNextPage
+           : allowStale_      ? StoreRead::Cause::kFirstListing
+                              : StoreRead::Cause::kRelist;
   }
-  if (!complete_) {
+  if (!synchronized_) {
     return StoreRead::Cause::kCatchUp;
   }
   if (urgent_) {
@@ -77,33 +80,33 @@
   return confirming_ ? StoreRead::Cause::kConfirm : StoreRead::Cause::kFollowStore;
 }
 
-ReadOutcome StoreReader::judge(const StoreReply& reply, UnderWay answered) const {
+ReadOutcome StoreReader::classifyReply(const StoreReply& reply, PendingRead answered) const {
   const bool isFailure =
       reply.outcome != ReadOutcome::kAnswered && reply.outcome != ReadOutcome::kHistoryGone;
   if (isFailure) {
     return reply.outcome;
   }
-  if (reply.at.era < storeEra()) {
-    return ReadOutcome::kEraOver;
+  if (reply.revision.era < storeEra()) {
+    return ReadOutcome::kOutdatedEra;
   }
   // What was asked for builds on a revision that a later copy may have given out again.
-  const Revision base = answered == UnderWay::kWatch         ? watchedFrom_
-                        : answered == UnderWay::kMissingPage ? revision_
-                                                             : listedAt_;
-  const bool isOfLaterEra = base != 0 && reply.at.era > base.era;
+  const Revision base = answered == PendingRead::kWatch         ? watchedFrom_
+                        : answered == PendingRead::kMissingPage ? revision_
+                                                                : listedAt_;
+  const bool isOfLaterEra = base != 0 && reply.revision.era > base.era;
   return isOfLaterEra ? ReadOutcome::kHistoryGone : reply.outcome;
 }
 
 ReadOutcome StoreReader::onReply(const StoreReply& reply, Time now) {
-  const UnderWay answered = std::exchange(underWay_, UnderWay::kNothing);
+  const PendingRead answered = std::exchange(pendingRead_, PendingRead::kNone);
   pause_ = 0ms;
   nextReadAt_ = now;
-  rareReadAt_ = now;
-  if (answered == UnderWay::kInVain) {
+  deferredReadAt_ = now;
+  if (answered == PendingRead::kAbandoned) {
     return reply.outcome;
   }
-  const ReadOutcome outcome = judge(reply, answered);
-  storeEra_ = std::max(storeEra_, reply.at.era);
+  const ReadOutcome outcome = classifyReply(reply, answered);
+  storeEra_ = std::max(storeEra_, reply.revision.era);
   if (outcome == ReadOutcome::kHistoryGone) {
     onHistoryGone(now);
     return outcome;
@@ -114,8 +117,8 @@
   }
   failuresInRow_ = 0;
   lastAnswerAt_ = now;
-  if (answered == UnderWay::kMissingPage) {
-    onMissingPage(reply, now);
+  if (answered == PendingRead::kMissingPage) {
+    onBackfillPage(reply, now);
   } else if (listing_) {
     onPage(reply, now);
   } else {
@@ -129,13 +132,13 @@
   lastAnswerAt_ = now;
   historyGoneAt_ = now;
   beginListing();
-  if (complete_) {
-    nextReadAt_ = now + upTo(listPause_);
+  if (synchronized_) {
+    nextReadAt_ = now + randomDelay(maxRelistDelay_);
   }
 }
 
 void StoreReader::onPage(const StoreReply& reply, Time now) {
-  listedAt_ = listedAt_ == 0 ? reply.at : std::min(listedAt_, reply.at);
+  listedAt_ = listedAt_ == 0 ? reply.revision : std::min(listedAt_, reply.revision);
   for (const StoreChange& change : reply.changes) {
     listedKeys_.insert(change.key);
     sink_.onListedItem(change, now);
@@ -144,26 +147,26 @@
     return;
   }
   // A view that a peer gave meanwhile may hold more than a sample would show to be gone.
-  if (plan_.isWhole() || !complete_) {
+  if (plan_.coversAllBackends() || !synchronized_) {
     sink_.onListed(listedKeys_, listedAt_, now);
-    noteGapBefore(listedAt_);
+    recordGapBefore(listedAt_);
   }
-  if (plan_.isWhole()) {
-    onFilled();
+  if (plan_.coversAllBackends()) {
+    markAllBackendsKnown();
   }
   // A store that answers an older state than was seen before must not move the watch back.
   revision_ = std::max(revision_, listedAt_);
   listing_ = false;
-  confirming_ = staleWillDo_;
-  if (!staleWillDo_) {
-    complete_ = true;
+  confirming_ = allowStale_;
+  if (!allowStale_) {
+    synchronized_ = true;
     confirmedAt_ = now;
   }
   clearListing();
 }
 
-void StoreReader::noteGapBefore(Revision listed) {
-  if (complete_) {
+void StoreReader::recordGapBefore(Revision listed) {
+  if (synchronized_) {
     history_.Cross({revision_, listed});
   } else {
     history_.Begin(listed);
@@ -176,26 +179,26 @@
   }
 }
 
-void StoreReader::onMissingPage(const StoreReply& reply, Time now) {
+void StoreReader::onBackfillPage(const StoreReply& reply, Time now) {
   // Current pages are not older than this view: every event that it took is in them.
   for (const StoreChange& change : reply.changes) {
-    sink_.onMissing(change, now);
+    sink_.onMissingItem(change, now);
   }
-  missingAfter_ = reply.lastKey;
+  backfillAfterKey_ = reply.lastKey;
   if (!reply.hasMore || reply.lastKey.empty()) {
-    onFilled();
+    markAllBackendsKnown();
   }
 }
 
-void StoreReader::onFilled() {
-  if (!std::exchange(whole_, true)) {
-    sink_.onWhole();
+void StoreReader::markAllBackendsKnown() {
+  if (!std::exchange(hasAllBackends_, true)) {
+    sink_.onAllBackendsKnown();
   }
 }
 
-void StoreReader::setSampled(std::uint32_t place) {
-  samplePlace_ = place;
-  if (!complete_ && !plan_.hasBegun()) {
+void StoreReader::enableSampling(std::uint32_t sampleSeed) {
+  sampleSeed_ = sampleSeed;
+  if (!synchronized_ && !plan_.hasStarted()) {
     clearListing();
   }
 }
@@ -205,9 +208,9 @@
     ++counters_.events;
     sink_.onChange(change, now);
   }
-  revision_ = std::max(revision_, reply.at);
+  revision_ = std::max(revision_, reply.revision);
   confirming_ = false;
-  complete_ = true;
+  synchronized_ = true;
   confirmedAt_ = now;
   pause_ = pauseAfter(reply.changes.size(), now);
   nextReadAt_ = now + pause_;
@@ -215,18 +218,18 @@
 
 std::chrono::milliseconds StoreReader::pauseAfter(std::size_t changes, Time now) {
   const bool changed = changes != 0;
-  const bool inBurst = changed && lastChangeAt_ != Time{} && now - lastChangeAt_ < kBurstGap;
+  const bool isInBurst = changed && lastChangeAt_ != Time{} && now - lastChangeAt_ < kBurstGap;
   lastChangeAt_ = changed ? now : lastChangeAt_;
-  const bool isWanted = wantedAt_ != Time{} && now - wantedAt_ < kWantedFor;
+  const bool isWanted = backendNeededAt_ != Time{} && now - backendNeededAt_ < kWantedFor;
   // An answer as large as a page is only the first of what has happened.
-  const bool moreFollows = changes >= kItemsOfStorePage / 2;
-  if (isWanted || urgent_ || moreFollows || isFilling()) {
+  const bool hasMore = changes >= kItemsOfStorePage / 2;
+  if (isWanted || urgent_ || hasMore || isBackfilling()) {
     return 0ms;
   }
-  if (inBurst) {
+  if (isInBurst) {
     return watchWait_ - std::min(kWaitAfterBurst, watchWait_);
   }
-  return covered_ ? std::min(kLetOthersRead, watchWait_) : 0ms;
+  return hasOtherReaders_ ? std::min(kLetOthersRead, watchWait_) : 0ms;
 }
 
 void StoreReader::onFailure(ReadOutcome outcome, Time now) {
@@ -234,58 +237,58 @@
   ++failuresInRow_;
   confirming_ = true;
   if (outcome != ReadOutcome::kTimedOut) {
-    turnedAwayAt_ = now;
+    rejectedAt_ = now;
   }
   const bool watchEnded =
       !listing_ && failuresInRow_ == 1 && outcome == ReadOutcome::kConnectionLost;
   // Waiting watches are cut now and then; the first retry need not wait.
   nextReadAt_ = watchEnded ? now : now + backOffAfter(outcome);
-  if (complete_ && (othersFail_ || failuresInRow_ > kTriesBeforeRare)) {
-    rareReadAt_ = now + upTo(othersFail_.value_or(rareTryAfter_));
+  if (synchronized_ && (otherReadersRetryDelay_ || failuresInRow_ > kTriesBeforeRare)) {
+    deferredReadAt_ = now + randomDelay(otherReadersRetryDelay_.value_or(maxSharedRetryDelay_));
   }
 }
 
-void StoreReader::onWanted(Time now) {
-  if (complete_) {
-    wantedAt_ = now;
+void StoreReader::onBackendNeeded(Time now) {
+  if (synchronized_) {
+    backendNeededAt_ = now;
   } else {
-    viewWanted_ = true;
+    isViewNeeded_ = true;
   }
 }
 
 Time StoreReader::nextReadAt() const {
-  const bool isUrgent = urgent_ || isViewWanted();
-  const bool isRare = covered_ && !isUrgent && !listing_;
-  return isRare ? std::max(nextReadAt_, rareReadAt_) : nextReadAt_;
+  const bool isUrgent = urgent_ || isViewNeeded();
+  const bool isDeferred = hasOtherReaders_ && !isUrgent && !listing_;
+  return isDeferred ? std::max(nextReadAt_, deferredReadAt_) : nextReadAt_;
 }
 
 void StoreReader::beginListing() {
   listing_ = true;
-  staleWillDo_ = false;
-  missingAfter_.clear();
+  allowStale_ = false;
+  backfillAfterKey_.clear();
   clearListing();
 }
 
 void StoreReader::clearListing() {
   // A view that was in use may hold more than a sample would show to be gone.
-  plan_.begin(complete_ ? std::nullopt : samplePlace_);
+  plan_.begin(synchronized_ ? std::nullopt : sampleSeed_);
   listedKeys_.clear();
   listedAt_ = 0;
 }
 
 void StoreReader::onResume(Time now) {
-  underWay_ = UnderWay::kNothing;
+  pendingRead_ = PendingRead::kNone;
   confirming_ = true;
   nextReadAt_ = now;
-  rareReadAt_ = now;
+  deferredReadAt_ = now;
 }
 
-void StoreReader::giveUpListing() {
-  if (!listing_ || !complete_) {
+void StoreReader::abandonListing() {
+  if (!listing_ || !synchronized_) {
     return;
   }
   listing_ = false;
-  underWay_ = isReading() ? UnderWay::kInVain : UnderWay::kNothing;
+  pendingRead_ = isReading() ? PendingRead::kAbandoned : PendingRead::kNone;
   clearListing();
 }
 
@@ -297,19 +300,19 @@
 }
 
 void StoreReader::replace(Revision revision) {
-  noteGapBefore(revision);
+  recordGapBefore(revision);
   adopt(revision);
-  giveUpListing();
-  onFilled();
+  abandonListing();
+  markAllBackendsKnown();
 }
 
 void StoreReader::adopt(Revision revision) {
   if (revision <= revision_) {
     return;
   }
-  const bool wasInUse = complete_;
+  const bool wasInUse = synchronized_;
   advance(revision);
-  complete_ = true;
+  synchronized_ = true;
   history_.BeginIfNew(revision);
   if (!isReading() && !wasInUse) {
     listing_ = false;
@@ -320,25 +323,25 @@
 void StoreReader::confirm(Time at) {
   // Others whose watches found the same confirm each other's old views until one has listed.
   if (at > historyGoneAt_) {
-    giveUpListing();
+    abandonListing();
   }
   if (listing_ || revision_ == 0) {
     return;
   }
-  complete_ = true;
+  synchronized_ = true;
   confirmedAt_ = std::max(confirmedAt_, at);
 }
 
 bool StoreReader::isCurrent(Time now) const {
-  if (!complete_ || listing_) {
+  if (!synchronized_ || listing_) {
     return false;
   }
-  const bool watching = underWay_ == UnderWay::kWatch && !confirming_;
+  const bool watching = pendingRead_ == PendingRead::kWatch && !confirming_;
   return watching || now - confirmedAt_ < currentFor_;
 }
 
 std::chrono::milliseconds StoreReader::watchWait() const {
-  if (!complete_) {
+  if (!synchronized_) {
     return kCatchUpWait;
   }
   const std::chrono::milliseconds wait = watchWait_ - pause_;
@@ -352,14 +355,14 @@
 }
 
 Duration StoreReader::backOffAfter(ReadOutcome outcome) {
-  const bool patient = complete_ || outcome == ReadOutcome::kThrottled;
-  const Duration longest = patient ? kReadBackOffLongest : startBackOff_;
+  const bool isPatient = synchronized_ || outcome == ReadOutcome::kThrottled;
+  const Duration maxDelay = isPatient ? kReadBackOffLongest : startupBackOff_;
   const std::uint32_t doublings = std::min<std::uint32_t>(failuresInRow_, kReadTimeoutDoublings);
-  return upTo(std::min<Duration>(kReadBackOff * (1U << doublings), longest));
+  return randomDelay(std::min<Duration>(kReadBackOff * (1U << doublings), maxDelay));
 }
 
-Duration StoreReader::upTo(Duration span) {
-  const auto half = static_cast<std::uint64_t>(span.count() / 2);
+Duration StoreReader::randomDelay(Duration maxDelay) {
+  const auto half = static_cast<std::uint64_t>(maxDelay.count() / 2);
   return Duration(static_cast<Duration::rep>(half + random_.below(half + 1)));
 }
 
--- a/src/core/store_reader.h
+++ b/src/core/store_reader.h
@@ -50,9 +50,9 @@
   /// A listing is complete: an item that is not in `keys` and not newer than `listedAt` is gone.
   virtual void onListed(const std::set<std::string>& keys, Revision listedAt, Time now) = 0;
   /// A back end that a view in use lacked. It is no change: nobody is told of it.
-  virtual void onMissing(const StoreChange& item, Time now) = 0;
+  virtual void onMissingItem(const StoreChange& item, Time now) = 0;
   /// The view holds every back end from now on.
-  virtual void onWhole() = 0;
+  virtual void onAllBackendsKnown() = 0;
 };
 
 /// Counters of a StoreReader.
@@ -95,41 +95,45 @@
 
   /// Sets how long a watch may wait, for how long a confirmed view counts as current, and after how
   /// long at most a read is repeated that others make as well.
-  void setPace(std::chrono::milliseconds watchWait, Duration currentFor, Duration rareTryAfter) {
+  void setReadTimings(std::chrono::milliseconds watchWait, Duration currentFor,
+                      Duration maxSharedRetryDelay) {
     watchWait_ = watchWait;
     currentFor_ = currentFor;
-    rareTryAfter_ = rareTryAfter;
+    maxSharedRetryDelay_ = maxSharedRetryDelay;
   }
 
   /// Lets nextRead() give reads, or not: a daemon that follows a peer has no need of them.
   void setActive(bool active) { active_ = active; }
-  bool isActive() const { return active_ || isFilling(); }
+  bool isActive() const { return active_ || isBackfilling(); }
 
   /// Says whether other daemons read as well and will tell this one: a read is followed by a pause
   /// then, and reads that have failed several times are repeated rarely.
-  void setCovered(bool covered) { covered_ = covered; }
+  void setHasOtherReaders(bool covered) { hasOtherReaders_ = covered; }
 
   /// Says that those others read in vain, or with nothing that they do not. A read of this daemon's
   /// that fails as well is repeated after at most `tryAfter`, half of it random.
-  void setOthersFail(std::optional<Duration> tryAfter) { othersFail_ = tryAfter; }
-  bool areOthersFailing() const { return othersFail_.has_value(); }
+  void setOtherReadersFailing(std::optional<Duration> tryAfter) {
+    otherReadersRetryDelay_ = tryAfter;
+  }
+  bool areOtherReadersFailing() const { return otherReadersRetryDelay_.has_value(); }
 
   /// Lets the next read wait until then where others read as well and nothing is urgent.
-  void putOff(Time until) { rareReadAt_ = std::max(rareReadAt_, until); }
+  void deferRead(Time until) { deferredReadAt_ = std::max(deferredReadAt_, until); }
 
   /// Sets how long a daemon without a view waits at most before it tries a store again that fails.
-  void setStartBackOff(Duration longest) { startBackOff_ = longest; }
+  void setStartupBackOff(Duration maxDelay) { startupBackOff_ = maxDelay; }
 
   /// Notes that the store serves others: a try that waits is made now.
-  void hurry(Time now) { nextReadAt_ = std::min(nextReadAt_, now); }
+  void expediteRead(Time now) { nextReadAt_ = std::min(nextReadAt_, now); }
 
-  /// Lets first listings be samples from now on. @param place of this daemon among all, at random.
-  void setSampled(std::uint32_t place);
+  /// Lets first listings be samples from now on. @param sampleSeed of this daemon among all, at
+  /// random.
+  void enableSampling(std::uint32_t sampleSeed);
   /// Lets nextRead() give pages of the back ends that a view in use lacks, one after the other and
   /// between watches.
-  void setFilling(bool filling) { filling_ = filling; }
+  void setBackfilling(bool filling) { backfilling_ = filling; }
   /// Notes that peers have given every back end that was missing.
-  void onFilled();
+  void markAllBackendsKnown();
 
   /// Says whether something is missing that only a read can give: no read is put off then.
   void setUrgent(bool urgent) { urgent_ = urgent; }
@@ -139,18 +143,18 @@
 
   /// Notes that a packet could not be decided for want of a back end: changes are urgent. Before
   /// the first whole view it is that view which is urgent, and nothing is known of changes.
-  void onWanted(Time now);
+  void onBackendNeeded(Time now);
 
   /// @return when nextRead() may give a read, where none is under way.
   Time nextReadAt() const;
-  bool isReading() const { return underWay_ != UnderWay::kNothing; }
+  bool isReading() const { return pendingRead_ != PendingRead::kNone; }
   /// @return true while a listing is to be made or under way.
   bool isListing() const { return listing_; }
   /// @return true where the last read failed.
   bool isFailing() const { return failuresInRow_ > 0; }
   /// @return true where the store turned the last read away, and nothing has come from it since.
   /// One that is slow, or busy with the listings of others, is not meant.
-  bool isTurnedAway() const { return turnedAwayAt_ > lastAnswerAt_; }
+  bool wasRejected() const { return rejectedAt_ > lastAnswerAt_; }
   /// @return when the view was last known to be the store's; zero where it never was.
   Time confirmedAt() const { return confirmedAt_; }
 
@@ -158,26 +162,28 @@
   /// under way on a view that is complete, or the last answer is recent.
   bool isCurrent(Time now) const;
   /// @return true where the view is in step with the store in all that it holds.
-  bool isComplete() const { return complete_; }
+  bool isSynchronized() const { return synchronized_; }
   /// @return true where a complete view holds every back end.
-  bool isWhole() const { return complete_ && whole_; }
+  bool hasAllBackends() const { return synchronized_ && hasAllBackends_; }
   /// @return which part of the store's history this view has followed.
   const FollowedHistory& history() const { return history_; }
   /// @return the revision from which on every change was taken; zero where nothing was listed.
   Revision baseRevision() const { return history_.GetBase(); }
   /// @return true where this view shows all that a view complete up to `have` lacks.
-  bool canTellSince(Revision have) const { return isWhole() && history_.Covers(have); }
+  bool canSendChangesSince(Revision have) const {
+    return hasAllBackends() && history_.Covers(have);
+  }
 
   /// Sets how long at most a view in use waits before it is listed again for want of history:
   /// a peer may bring it up to date meanwhile, for far less.
-  void setListPause(Duration longest) { listPause_ = longest; }
+  void setMaxRelistDelay(Duration maxDelay) { maxRelistDelay_ = maxDelay; }
   /// @return true where the changes of a peer can be taken: no first listing is under way. One that
   /// replaces a lost history ends where a peer's view is confirmed to be newer than that.
-  bool takesChanges() const { return !listing_ || complete_; }
+  bool acceptsChanges() const { return !listing_ || synchronized_; }
   /// @return true where the first listing was stale and is not yet brought up to date.
-  bool isCatchingUp() const { return !complete_ && !listing_; }
+  bool isCatchingUp() const { return !synchronized_ && !listing_; }
   /// @return true where packets wait for the first whole view.
-  bool isViewWanted() const { return viewWanted_ && !complete_; }
+  bool isViewNeeded() const { return isViewNeeded_ && !synchronized_; }
 
   Revision revision() const { return revision_; }
   /// @return the latest era that the store or a peer has shown.
@@ -188,33 +194,33 @@
 
  private:
   /// The read that nextRead() gave last and that is not answered.
-  enum class UnderWay : std::uint8_t {
-    kNothing,
+  enum class PendingRead : std::uint8_t {
+    kNone,
     kListing,
     kMissingPage,  ///< For a view in use.
     kWatch,
-    kInVain,  ///< A listing that was given up: its answer is not wanted any more.
+    kAbandoned,  ///< A listing that was given up: its answer is not wanted any more.
   };
 
   /// @return what an answer counts as, see onReply().
-  ReadOutcome judge(const StoreReply& reply, UnderWay answered) const;
+  ReadOutcome classifyReply(const StoreReply& reply, PendingRead answered) const;
   void onHistoryGone(Time now);
   void onPage(const StoreReply& reply, Time now);
-  void onMissingPage(const StoreReply& reply, Time now);
+  void onBackfillPage(const StoreReply& reply, Time now);
   /// Notes that a listing replaces changes that are not known.
-  void noteGapBefore(Revision listed);
+  void recordGapBefore(Revision listed);
   void onEvents(const StoreReply& reply, Time now);
   void onFailure(ReadOutcome outcome, Time now);
   void beginListing();
   void clearListing();
   /// Ends a listing that replaces a lost history: a peer has told what was missing.
-  void giveUpListing();
+  void abandonListing();
   /// @return true where pages are read for a view that is in use.
-  bool isFilling() const { return filling_ && complete_ && !whole_; }
+  bool isBackfilling() const { return backfilling_ && synchronized_ && !hasAllBackends_; }
   StoreRead listRead(StoreRead::Cause cause, const ListingRange& range,
                      const std::string& afterKey);
   StoreRead listingRead();
-  StoreRead missingPageRead();
+  StoreRead backfillRead();
   StoreRead watchRead();
   StoreRead::Cause cause() const;
   std::chrono::milliseconds watchWait() const;
@@ -222,37 +228,37 @@
   std::chrono::milliseconds pauseAfter(std::size_t changes, Time now);
   Duration timeoutNow() const;
   Duration backOffAfter(ReadOutcome outcome);
-  /// @return a random time from half of `span` to all of it.
-  Duration upTo(Duration span);
+  /// @return a random time from half of `maxDelay` to all of it.
+  Duration randomDelay(Duration maxDelay);
 
   StoreSink& sink_;
   Random& random_;
   std::chrono::milliseconds watchWait_ = kWatchWait;
   Duration currentFor_ = kViewCurrentFor;
-  Duration rareTryAfter_ = kReadBackOffCovered;
+  Duration maxSharedRetryDelay_ = kReadBackOffCovered;
   bool active_ = true;
-  bool covered_ = false;
-  std::optional<Duration> othersFail_;
-  Duration startBackOff_ = kReadBackOffAtStart;
+  bool hasOtherReaders_ = false;
+  std::optional<Duration> otherReadersRetryDelay_;
+  Duration startupBackOff_ = kReadBackOffAtStart;
   bool urgent_ = false;
-  UnderWay underWay_ = UnderWay::kNothing;
+  PendingRead pendingRead_ = PendingRead::kNone;
   bool listing_ = true;
-  bool complete_ = false;
-  bool whole_ = false;
-  std::optional<std::uint32_t> samplePlace_;  ///< None: first listings are whole.
-  bool filling_ = false;
-  std::string missingAfter_;       ///< Pages up to here were added to a view in use.
-  bool watchedSincePage_ = false;  ///< Pages of a view in use take turns with watches.
-  Time wantedAt_{};
-  bool viewWanted_ = false;             ///< Packets wait for the first whole view.
-  bool staleWillDo_ = true;             ///< No listing has been tried but the first.
+  bool synchronized_ = false;
+  bool hasAllBackends_ = false;
+  std::optional<std::uint32_t> sampleSeed_;  ///< None: first listings are whole.
+  bool backfilling_ = false;
+  std::string backfillAfterKey_;       ///< Pages up to here were added to a view in use.
+  bool watchedSinceBackfill_ = false;  ///< Pages of a view in use take turns with watches.
+  Time backendNeededAt_{};
+  bool isViewNeeded_ = false;           ///< Packets wait for the first whole view.
+  bool allowStale_ = true;              ///< No listing has been tried but the first.
   std::chrono::milliseconds pause_{0};  ///< Before the next watch, which waits so much less.
   bool confirming_ = false;  ///< The last watch was lost; what it missed is not known yet.
   Time nextReadAt_{};
-  Time rareReadAt_{};  ///< Instead, where others read as well and nothing is urgent.
+  Time deferredReadAt_{};  ///< Instead, where others read as well and nothing is urgent.
   Time lastAnswerAt_{};
   Time historyGoneAt_{};
-  Time turnedAwayAt_{};
+  Time rejectedAt_{};
   Time confirmedAt_{};
   Time lastChangeAt_{};
   StoreEra storeEra_{0};      ///< Of the latest answer.
@@ -260,7 +266,7 @@
   Revision revision_ = 0;     ///< Changes up to this one are known; base of the next watch.
   Revision listedAt_ = 0;     ///< Of the listing's first page.
   FollowedHistory history_;
-  Duration listPause_{};
+  Duration maxRelistDelay_{};
   ListingPlan plan_;
   std::set<std::string> listedKeys_;
   std::uint32_t failuresInRow_ = 0;
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -52,7 +52,7 @@
   if (backend == nullptr) {
     return steerWithoutView(packet);
   }
-  if (backends_.hasEnded(backend->id)) {
+  if (backends_.isSuperseded(backend->id)) {
     resetFlowsOf(backend->id, RefuseReason::kBackendEnded);
     return refuse(RefuseReason::kBackendEnded, RefusalCertainty::kOutcomeUnknown);
   }
@@ -245,7 +245,7 @@
 
 void TokenSteering::resetFlowsOfEnded() {
   for (const BackendId id : flows_.backendsWithFlows()) {
-    if (backends_.hasEnded(id)) {
+    if (backends_.isSuperseded(id)) {
       resetFlowsOf(id, RefuseReason::kBackendEnded);
     }
   }
--- a/src/core/view_conversion.cc
+++ b/src/core/view_conversion.cc
@@ -4,7 +4,7 @@
 
 namespace cobaltgauge::core {
 
-std::uint32_t wholeMilliseconds(Duration duration) {
+std::uint32_t toMilliseconds(Duration duration) {
   return static_cast<std::uint32_t>(
       std::chrono::duration_cast<std::chrono::milliseconds>(duration).count());
 }
@@ -19,7 +19,7 @@
           registration.softwareVersion,
           registration.capacity,
           registration.state == BackendState::kLeaving,
-          wholeMilliseconds(registration.warmUpLeft),
+          toMilliseconds(registration.warmUpLeft),
           registration.startedAtMs,
           registration.statement};
 }
@@ -54,15 +54,15 @@
     message.weights.push_back(target.weight);
   }
   message.kind = route.kind;
-  message.latencyGoalMs = wholeMilliseconds(route.latencyGoal);
-  message.timeoutMs = wholeMilliseconds(route.timeout);
+  message.latencyGoalMs = toMilliseconds(route.latencyGoal);
+  message.timeoutMs = toMilliseconds(route.timeout);
   message.priority = route.priority;
   message.allowedRegions = route.allowedRegions;
   return message;
 }
 
 ViewService toMessage(const ServiceTraits& service) {
-  return {service.name, wholeMilliseconds(service.warmUp), service.coldOpenings};
+  return {service.name, toMilliseconds(service.warmUp), service.coldOpenings};
 }
 
 ServiceTraits toTraits(const ViewService& message) {
@@ -90,7 +90,7 @@
 
 ViewRouteDelta toMessage(const StoreChange& change, const RouteDelta& delta) {
   ViewRouteDelta message{
-      change.key, change.revision, delta.from, delta.version, wholeMilliseconds(delta.idleTimeout),
+      change.key, change.revision, delta.from, delta.version, toMilliseconds(delta.idleTimeout),
       {},         delta.dropped};
   for (const Route& route : delta.changed) {
     message.changed.push_back(toMessage(route));
@@ -148,7 +148,7 @@
   }
 }
 
-std::vector<StoreChange> changesOf(const ViewUpdate& update) {
+std::vector<StoreChange> toStoreChanges(const ViewUpdate& update) {
   std::vector<StoreChange> changes;
   for (const ViewBackend& backend : update.backends) {
     changes.push_back(toChange(backend));
--- a/src/core/view_conversion.h
+++ b/src/core/view_conversion.h
@@ -10,7 +10,7 @@
 
 namespace cobaltgauge::core {
 
-std::uint32_t wholeMilliseconds(Duration duration);
+std::uint32_t toMilliseconds(Duration duration);
 
 ViewBackend toMessage(const StoreChange& change, const Registration& registration);
 StoreChange toChange(const ViewBackend& backend);
@@ -28,6 +28,6 @@
 /// Adds changes to an update. Items that cannot be read are left out.
 void addToUpdate(const std::vector<StoreChange>& changes, ViewUpdate& update);
 /// @return the changes of an update. Revisions order those of one key, so kinds may be mixed.
-std::vector<StoreChange> changesOf(const ViewUpdate& update);
+std::vector<StoreChange> toStoreChanges(const ViewUpdate& update);
 
 }  // namespace cobaltgauge::core
--- a/src/core/view_exchange.cc
+++ b/src/core/view_exchange.cc
@@ -24,7 +24,7 @@
   for (const Endpoint& seed : seeds) {
     addPeer(seed);
   }
-  introduced_ = false;
+  announced_ = false;
 }
 
 void ViewExchange::addPeer(const Endpoint& peer) {
@@ -38,17 +38,17 @@
   peers_.push_back(peer);
 }
 
-void ViewExchange::learnPeers(const std::vector<Endpoint>& peers) {
+void ViewExchange::addPeers(const std::vector<Endpoint>& peers) {
   for (const Endpoint& peer : peers) {
     addPeer(peer);
   }
 }
 
 bool ViewExchange::needsPeers(Time now) const {
-  if (!reader_.isComplete() && reader_.isTurnedAway()) {
+  if (!reader_.isSynchronized() && reader_.wasRejected()) {
     return true;
   }
-  if (!reader_.isComplete()) {
+  if (!reader_.isSynchronized()) {
     return now - std::max(startedAt_, reader_.lastAnswerAt()) >= kStoreFirstTry;
   }
   return now - lastCurrentAt_ >= kStoreSilence;
@@ -58,27 +58,28 @@
   if (reader_.isCurrent(now)) {
     lastCurrentAt_ = now;
   }
-  if (!std::exchange(introduced_, true)) {
-    introduce();
+  if (!std::exchange(announced_, true)) {
+    announce();
   }
-  if (needsPeers(now) && now >= nextAskAt_) {
-    askSome(now);
+  if (needsPeers(now) && now >= nextRequestAt_) {
+    requestViews(now);
   }
 }
 
-void ViewExchange::introduce() {
+void ViewExchange::announce() {
   for (const Endpoint& peer : peers_) {
     outgoing_.push_back({peer, ViewRequest{self_, reader_.revision(), false}});
   }
 }
 
-void ViewExchange::askSome(Time now) {
-  nextAskAt_ = now + kAskPeersEvery;
-  std::vector<Endpoint> choice = peers_;
-  while (choice.size() > kPeersAsked) {
-    choice.erase(choice.begin() + static_cast<std::ptrdiff_t>(random_.below(choice.size())));
+void ViewExchange::requestViews(Time now) {
+  nextRequestAt_ = now + kAskPeersEvery;
+  std::vector<Endpoint> recipients = peers_;
+  while (recipients.size() > kPeersAsked) {
+    recipients.erase(recipients.begin() +
+                     static_cast<std::ptrdiff_t>(random_.below(recipients.size())));
   }
-  for (const Endpoint& peer : choice) {
+  for (const Endpoint& peer : recipients) {
     ++counters_.requestsSent;
     outgoing_.push_back({peer, ViewRequest{self_, reader_.revision(), true}});
   }
@@ -88,29 +89,29 @@
   addPeer(request.replyTo);
   if (request.wanted) {
     ++counters_.requestsAnswered;
-    outgoing_.push_back({request.replyTo, viewFor(request, now)});
+    outgoing_.push_back({request.replyTo, makeTransfer(request, now)});
   }
 }
 
 bool ViewExchange::needsWholeView(Revision have) const {
-  const bool hasNews = reader_.isWhole() && reader_.revision() > have;
-  const bool changesWillDo =
+  const bool hasNewerView = reader_.hasAllBackends() && reader_.revision() > have;
+  const bool areChangesSufficient =
       have != 0 && changes_ != nullptr && changes_->Reaches(have) && reader_.history().Covers(have);
-  return hasNews && !changesWillDo;
+  return hasNewerView && !areChangesSufficient;
 }
 
-ViewTransfer ViewExchange::viewFor(const ViewRequest& request, Time now) {
+ViewTransfer ViewExchange::makeTransfer(const ViewRequest& request, Time now) {
   ViewTransfer view;
   for (const Endpoint& peer : peers_) {
     if (peer != request.replyTo) {
       view.peers.push_back(peer);
     }
   }
-  if (!needsWholeView(request.have) || !views_.admit(RankedTokenBucket::kHighestRank, now)) {
+  if (!needsWholeView(request.have) || !viewBudget_.admit(RankedTokenBucket::kHighestRank, now)) {
     return view;
   }
   view.revision = reader_.revision();
-  view.ageMs = wholeMilliseconds(now - lastCurrentAt_);
+  view.ageMs = toMilliseconds(now - lastCurrentAt_);
   view.version = steering_.routes().version();
   view.idleTimeoutMs = static_cast<std::uint32_t>(steering_.routes().idleTimeout().count());
   for (const Route& route : steering_.routes().routes()) {
@@ -126,12 +127,12 @@
     view.evacuations.push_back(toMessage(change, std::get<ZoneEvacuation>(change.item)));
   }
   const std::size_t units = (view.routes.size() + view.backends.size()) / kItemsPerViewUnit;
-  views_.charge(static_cast<std::uint32_t>(units));
+  viewBudget_.charge(static_cast<std::uint32_t>(units));
   return view;
 }
 
 bool ViewExchange::onTransfer(const ViewTransfer& transfer, Time now) {
-  learnPeers(transfer.peers);
+  addPeers(transfer.peers);
   if (transfer.revision == 0) {
     return false;
   }
--- a/src/core/view_exchange.h
+++ b/src/core/view_exchange.h
@@ -58,16 +58,16 @@
   /// @return daemons that may exist.
   const std::vector<Endpoint>& peers() const { return peers_; }
   /// Notes daemons that a peer named.
-  void learnPeers(const std::vector<Endpoint>& peers);
+  void addPeers(const std::vector<Endpoint>& peers);
 
  private:
   bool needsPeers(Time now) const;
-  void introduce();
-  void askSome(Time now);
+  void announce();
+  void requestViews(Time now);
   void addPeer(const Endpoint& peer);
   /// @return true where a peer that is complete up to `have` needs a whole view.
   bool needsWholeView(Revision have) const;
-  ViewTransfer viewFor(const ViewRequest& request, Time now);
+  ViewTransfer makeTransfer(const ViewRequest& request, Time now);
 
   Endpoint self_;
   TokenSteering& steering_;
@@ -76,12 +76,12 @@
   Random& random_;
   const ChangeLog* changes_;
   std::vector<Endpoint> peers_;  ///< Newest last.
-  RankedTokenBucket views_{kViewUnitsPerSecond};
+  RankedTokenBucket viewBudget_{kViewUnitsPerSecond};
   std::vector<OutgoingView> outgoing_;
-  bool introduced_ = false;
+  bool announced_ = false;
   Time startedAt_{};
   Time lastCurrentAt_{};
-  Time nextAskAt_{};
+  Time nextRequestAt_{};
   ViewExchangeCounters counters_;
 };
 
--- a/src/core/view_updater.cc
+++ b/src/core/view_updater.cc
@@ -5,7 +5,7 @@
 namespace cobaltgauge::core {
 
 bool ViewUpdater::onChange(const StoreChange& change, Time now) {
-  return std::visit([this, &change, now](const auto& item) { return take(change, item, now); },
+  return std::visit([this, &change, now](const auto& item) { return apply(change, item, now); },
                     change.item);
 }
 
@@ -18,18 +18,18 @@
 
 bool ViewUpdater::isKnownFromEarlierEra(const StoreChange& item) const {
   if (const auto* registration = std::get_if<Registration>(&item.item)) {
-    return backends_.knowsFromEarlierEra(item.key, *registration, item.revision);
+    return backends_.isUnchangedSinceEarlierEra(item.key, *registration, item.revision);
   }
   const auto* routes = std::get_if<RouteSet>(&item.item);
-  return routes != nullptr && routes_.knowsFromEarlierEra(routes->version, item.revision);
+  return routes != nullptr && routes_.isUnchangedSinceEarlierEra(routes->version, item.revision);
 }
 
-bool ViewUpdater::take(const StoreChange& change, const Registration& registration, Time now) {
+bool ViewUpdater::apply(const StoreChange& change, const Registration& registration, Time now) {
   const RegistryEvent event = backends_.put(change.key, registration, change.revision, now);
   if (event != RegistryEvent::kNone) {
     record(change);
   }
-  if (!whole_ && event == RegistryEvent::kAdded) {
+  if (!hasAllBackends_ && event == RegistryEvent::kAdded) {
     ++addedBackends_;
     return true;
   }
@@ -37,21 +37,21 @@
   return true;
 }
 
-bool ViewUpdater::take(const StoreChange& change, const RouteSet& routes, Time now) {
-  return take(change, routes_.difference(routes), now);
+bool ViewUpdater::apply(const StoreChange& change, const RouteSet& routes, Time now) {
+  return apply(change, routes_.difference(routes), now);
 }
 
-bool ViewUpdater::take(const StoreChange& change, const RouteDelta& delta, Time now) {
-  const RouteOffer offer = routes_.apply(delta, now, change.revision);
-  if (offer == RouteOffer::kWrittenAgain) {
+bool ViewUpdater::apply(const StoreChange& change, const RouteDelta& delta, Time now) {
+  const RouteOfferResult offer = routes_.apply(delta, now, change.revision);
+  if (offer == RouteOfferResult::kRewritten) {
     // Others may have begun with a copy of the store that lacked it.
     record(change);
     return true;
   }
-  if (offer == RouteOffer::kUnchanged || offer == RouteOffer::kGap) {
-    return offer == RouteOffer::kUnchanged;
+  if (offer == RouteOfferResult::kUnchanged || offer == RouteOfferResult::kGap) {
+    return offer == RouteOfferResult::kUnchanged;
   }
-  const bool accepted = offer == RouteOffer::kAccepted;
+  const bool accepted = offer == RouteOfferResult::kAccepted;
   if (accepted) {
     record({change.key, change.revision, delta});
   }
@@ -64,7 +64,7 @@
   return true;
 }
 
-bool ViewUpdater::take(const StoreChange& change, const RemovedItem&, Time now) {
+bool ViewUpdater::apply(const StoreChange& change, const RemovedItem&, Time now) {
   // Routes are never removed as a whole: a version replaces them.
   if (backends_.evacuations().Knows(change.key)) {
     const bool wasEvacuated = isEvacuated(change.key);
@@ -86,23 +86,23 @@
   return true;
 }
 
-bool ViewUpdater::take(const StoreChange& change, const UnreadableItem& unreadable, Time now) {
+bool ViewUpdater::apply(const StoreChange& change, const UnreadableItem& unreadable, Time now) {
   ViewChange report;
   report.kind = ViewChange::Kind::kUnreadable;
   report.key = change.key;
   report.revision = change.revision;
   report.reason = unreadable.reason;
   listener_(report);
-  if (const Registration* known = backends_.presentAt(change.key)) {
+  if (const Registration* known = backends_.findPresent(change.key)) {
     // Who wrote this is not known to be the back end: nothing but its end as a candidate is taken.
-    Registration withdrawn = *known;
-    withdrawn.state = BackendState::kLeaving;
-    return take({change.key, change.revision, withdrawn}, withdrawn, now);
+    Registration drained = *known;
+    drained.state = BackendState::kLeaving;
+    return apply({change.key, change.revision, drained}, drained, now);
   }
   return true;
 }
 
-bool ViewUpdater::take(const StoreChange& change, const ZoneEvacuation& evacuation, Time) {
+bool ViewUpdater::apply(const StoreChange& change, const ZoneEvacuation& evacuation, Time) {
   const bool wasEvacuated = backends_.evacuations().IsEvacuated(evacuation.zone);
   if (backends_.putEvacuation(change.key, evacuation.zone, change.revision)) {
     record(change);
@@ -136,13 +136,13 @@
   }
 }
 
-void ViewUpdater::reportExpired() {
+void ViewUpdater::reportExpiredEvacuations() {
   for (const std::string& key : backends_.takeExpiredEvacuations()) {
     reportEvacuation(key, 0, ViewChange::Kind::kEvacuationEnded);
   }
 }
 
-void ViewUpdater::onMissing(const StoreChange& item, Time now) {
+void ViewUpdater::onMissingItem(const StoreChange& item, Time now) {
   const auto* registration = std::get_if<Registration>(&item.item);
   if (registration == nullptr) {
     return;
@@ -151,10 +151,10 @@
   addedBackends_ += event == RegistryEvent::kAdded ? 1 : 0;
 }
 
-void ViewUpdater::onWhole() {
-  whole_ = true;
+void ViewUpdater::onAllBackendsKnown() {
+  hasAllBackends_ = true;
   ViewChange report;
-  report.kind = ViewChange::Kind::kWhole;
+  report.kind = ViewChange::Kind::kAllBackendsKnown;
   report.backends = addedBackends_;
   listener_(report);
 }
--- a/src/core/view_updater.h
+++ b/src/core/view_updater.h
@@ -20,7 +20,7 @@
     kUnreadable,
     kOlderRoutes,
     kFirstListing,
-    kWhole,
+    kAllBackendsKnown,
     kEvacuationBegan,
     kEvacuationEnded,
     kEvacuationLost,  ///< With a copy of the store; its zone stays out for a while.
@@ -48,20 +48,20 @@
   bool onChange(const StoreChange& change, Time now) override;
   void onListedItem(const StoreChange& item, Time now) override;
   void onListed(const std::set<std::string>& keys, Revision listedAt, Time now) override;
-  void onMissing(const StoreChange& item, Time now) override;
-  void onWhole() override;
+  void onMissingItem(const StoreChange& item, Time now) override;
+  void onAllBackendsKnown() override;
 
   /// Reports evacuations that were lost and are over now; call with each tick.
-  void reportExpired();
+  void reportExpiredEvacuations();
 
  private:
   bool isKnownFromEarlierEra(const StoreChange& item) const;
-  bool take(const StoreChange& change, const Registration& registration, Time now);
-  bool take(const StoreChange& change, const RouteSet& routes, Time now);
-  bool take(const StoreChange& change, const RouteDelta& delta, Time now);
-  bool take(const StoreChange& change, const RemovedItem& removed, Time now);
-  bool take(const StoreChange& change, const UnreadableItem& unreadable, Time now);
-  bool take(const StoreChange& change, const ZoneEvacuation& evacuation, Time now);
+  bool apply(const StoreChange& change, const Registration& registration, Time now);
+  bool apply(const StoreChange& change, const RouteSet& routes, Time now);
+  bool apply(const StoreChange& change, const RouteDelta& delta, Time now);
+  bool apply(const StoreChange& change, const RemovedItem& removed, Time now);
+  bool apply(const StoreChange& change, const UnreadableItem& unreadable, Time now);
+  bool apply(const StoreChange& change, const ZoneEvacuation& evacuation, Time now);
   void record(StoreChange change);
   /// @return true where the zone of an evacuation's item is out.
   bool isEvacuated(const std::string& key) const;
@@ -76,7 +76,7 @@
   Listener listener_;
   ChangeLog* log_;
   bool listed_ = false;            ///< The first listing is complete.
-  bool whole_ = false;             ///< Every back end is known.
+  bool hasAllBackends_ = false;    ///< Every back end is known.
   std::size_t addedBackends_ = 0;  ///< While the view was not whole.
 };
 
--- a/src/core/weighted_split.cc
+++ b/src/core/weighted_split.cc
@@ -5,11 +5,11 @@
 namespace cobaltgauge::core {
 namespace {
 
-constexpr std::uint64_t kLongestStart = 1000;
+constexpr std::uint64_t kMaxStartOffset = 1000;
 
 }  // namespace
 
-WeightedSplit::WeightedSplit(const std::vector<RouteTarget>& targets, std::uint64_t startPoint) {
+WeightedSplit::WeightedSplit(const std::vector<RouteTarget>& targets, std::uint64_t startOffset) {
   for (const RouteTarget& target : targets) {
     weights_.push_back(target.weight);
     total_ += target.weight;
@@ -19,8 +19,8 @@
     return;
   }
   // A round has as many steps as the weights add up to; go to a random step of it.
-  const auto round = std::min<std::uint64_t>(static_cast<std::uint64_t>(total_), kLongestStart);
-  for (std::uint64_t step = startPoint % round; step > 0; --step) {
+  const auto round = std::min<std::uint64_t>(static_cast<std::uint64_t>(total_), kMaxStartOffset);
+  for (std::uint64_t step = startOffset % round; step > 0; --step) {
     next();
   }
 }
@@ -32,8 +32,8 @@
   std::size_t best = 0;
   for (std::size_t i = 0; i < weights_.size(); ++i) {
     credits_[i] += weights_[i];
-    const bool takesPart = weights_[i] > 0;
-    if (takesPart && (weights_[best] == 0 || credits_[i] > credits_[best])) {
+    const bool isEligible = weights_[i] > 0;
+    if (isEligible && (weights_[best] == 0 || credits_[i] > credits_[best])) {
       best = i;
     }
   }
--- a/src/core/weighted_split.h
+++ b/src/core/weighted_split.h
@@ -14,8 +14,8 @@
 
 class WeightedSplit {
  public:
-  /// @param startPoint where in the round to begin.
-  WeightedSplit(const std::vector<RouteTarget>& targets, std::uint64_t startPoint);
+  /// @param startOffset where in the round to begin.
+  WeightedSplit(const std::vector<RouteTarget>& targets, std::uint64_t startOffset);
 
   /// @return the index of the next target by weight; 0 where all weights are zero.
   std::size_t next();
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -31,7 +31,7 @@
          this->Meter,
          [this](core::Time now) {
            // Slots of a sample would make every zone look full.
-           return this->View.Reader.isWhole()
+           return this->View.Reader.hasAllBackends()
              ? this->View.Steering.backends().countSlots(now)
              : core::ZoneSlots{};
          })
@@ -124,7 +124,7 @@
     changed = this->TakeTransfer(*transfer, now);
   } else if (const auto* subscription =
                std::get_if<core::ViewSubscription>(&frame)) {
-    this->Exchange.learnPeers({ subscription->replyTo });
+    this->Exchange.addPeers({ subscription->replyTo });
     this->Relay.OnSubscription(*subscription, now);
   } else if (const auto* update = std::get_if<core::ViewUpdate>(&frame)) {
     changed = this->TakeUpdate(*update, now);
@@ -165,7 +165,7 @@
 
 bool PeerLink::TakeUpdate(const core::ViewUpdate& update, core::Time now)
 {
-  this->Exchange.learnPeers(update.peers);
+  this->Exchange.addPeers(update.peers);
   const core::UpdateOutcome outcome = this->Relay.OnUpdate(update, now);
   this->LogUpstream(now);
   return outcome == core::UpdateOutcome::kTaken;
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -124,7 +124,7 @@
             {"data", net::formatEndpoint(settings_.dataListen)},
             {"store", net::formatEndpoint(settings_.platform)}});
   if (settings_.sampleFirst) {
-    reader_.setSampled(static_cast<std::uint32_t>(random_.below(core::kFineParts)));
+    reader_.enableSampling(static_cast<std::uint32_t>(random_.below(core::kFinePartitions)));
   }
   lastActive_ = bootTime();
   peers_.Start(lastActive_);
@@ -184,7 +184,7 @@
 }
 
 bool TokenDaemon::isReady() const {
-  return reader_.isComplete() && !stop_.hasBegun() && steering_.serving().IsServing();
+  return reader_.isSynchronized() && !stop_.hasBegun() && steering_.serving().IsServing();
 }
 
 net::HttpResponse TokenDaemon::answerReadiness(const std::string& path) const {
@@ -230,11 +230,11 @@
 void TokenDaemon::onVerdict(const core::PacketSummary& packet, const core::Verdict& verdict,
                             core::Time now) {
   const auto* drop = std::get_if<core::Drop>(&verdict);
-  if (!reader_.isComplete()) {
-    reader_.onWanted(now);
+  if (!reader_.isSynchronized()) {
+    reader_.onBackendNeeded(now);
     store_->start();
   } else if (drop != nullptr && core::wantsBackend(drop->reason)) {
-    reader_.onWanted(now);
+    reader_.onBackendNeeded(now);
   }
   logVerdict(packet, verdict, steering_, reader_.revision());
 }
@@ -252,7 +252,7 @@
   const core::Time now = bootTime();
   noticeSuspension(now);
   steering_.onTick(now);
-  updater_.reportExpired();
+  updater_.reportExpiredEvacuations();
   peers_.OnTick(now);
   const std::uint32_t fleet = peers_.GetRelay().CountFleet(now);
   steering_.setFleet(fleet);
@@ -292,8 +292,8 @@
                                 core::Duration latency) {
   logStoreRead(read, reply, latency, reader_.revision());
   const bool newView =
-      !reply.changes.empty() || reader_.isComplete() != steering_.hasCompleteView();
-  if (newView && reader_.isComplete()) {
+      !reply.changes.empty() || reader_.isSynchronized() != steering_.hasCompleteView();
+  if (newView && reader_.isSynchronized()) {
     onViewChanged(bootTime());
   }
   peers_.OnStoreAnswer(bootTime());
@@ -315,7 +315,7 @@
 }
 
 void TokenDaemon::onPeers(core::Time now, bool changed) {
-  if (changed || reader_.isComplete() != steering_.hasCompleteView()) {
+  if (changed || reader_.isSynchronized() != steering_.hasCompleteView()) {
     onViewChanged(now);
   }
   probes_.carryOutDomains(now);
@@ -330,7 +330,8 @@
 }
 
 void TokenDaemon::noteViewState(core::Time now) {
-  steering_.setViewState(reader_.isComplete(), reader_.isCurrent(now), reader_.isWhole());
+  steering_.setViewState(reader_.isSynchronized(), reader_.isCurrent(now),
+                         reader_.hasAllBackends());
 }
 
 void TokenDaemon::onViewChange(const core::ViewChange& change) {
@@ -368,7 +369,7 @@
   applySettings();
   const bool policyTaken = loadPolicy();
   if (policyTaken) {
-    steering_.backends().reweigh();
+    steering_.backends().recomputeWeights();
   }
   if (settings_.platform != storeBefore) {
     connectStore();
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -150,7 +150,7 @@
           LogLevel::kInfo, "view_listed",
           {{"backends", std::to_string(change.backends)}, {"revision", toString(change.revision)}});
       return;
-    case core::ViewChange::Kind::kWhole:
+    case core::ViewChange::Kind::kAllBackendsKnown:
       logEvent(LogLevel::kInfo, "view_whole",
                {{"backends", std::to_string(change.backends)},
                 {"view_age_ms", std::to_string(viewAge / std::chrono::milliseconds(1))}});
@@ -188,7 +188,7 @@
             {"outcome", toString(reply.outcome)},
             {"changes", std::to_string(reply.changes.size())},
             {"latency_ms", std::to_string(latency / std::chrono::milliseconds(1))},
-            {"store_revision", toString(reply.at)},
+            {"store_revision", toString(reply.revision)},
             {"revision", toString(viewRevision)}});
 }
 
--- a/tests/core/backend_registry_test.cc
+++ b/tests/core/backend_registry_test.cc
@@ -22,7 +22,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(BackendRegistryTest, RegistryFixture)
 
-BOOST_AUTO_TEST_CASE(reports_what_an_item_changed) {
+BOOST_AUTO_TEST_CASE(reports_event_of_each_item) {
   core::Registration item = makeRegistration(1, "web", 1, 1);
   BOOST_TEST((registry.put("servers/1", item, 1, now) == RegistryEvent::kAdded));
   BOOST_TEST((registry.put("servers/1", item, 2, now) == RegistryEvent::kRefreshed));
@@ -36,7 +36,7 @@
   BOOST_TEST((registry.put("servers/1", item, 7, now) == RegistryEvent::kReturned));
 }
 
-BOOST_AUTO_TEST_CASE(a_late_item_does_not_bring_a_removed_back_end_back) {
+BOOST_AUTO_TEST_CASE(older_item_does_not_restore_removed_backend) {
   const core::Registration item = makeRegistration(1, "web", 1, 1);
   registry.put("servers/1", item, 1, now);
   registry.remove("servers/1", 5, now);
@@ -44,7 +44,7 @@
   BOOST_TEST(!registry.takesNewFlows(BackendId{1}));
 }
 
-BOOST_AUTO_TEST_CASE(a_listing_removes_what_is_not_on_it_but_nothing_newer) {
+BOOST_AUTO_TEST_CASE(listing_removes_absent_items_except_newer_ones) {
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 1, now);
   registry.put("servers/2", makeRegistration(2, "web", 1, 2), 2, now);
   registry.put("servers/3", makeRegistration(3, "web", 1, 3), 9, now);
@@ -53,7 +53,7 @@
   BOOST_TEST(registry.candidates(web).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(two_back_ends_with_one_token_do_not_both_take_flows) {
+BOOST_AUTO_TEST_CASE(backends_with_colliding_tokens_do_not_both_take_flows) {
   // Ids whose tokens collide are found by search, as the token has 32 bits.
   std::unordered_map<core::SteeringToken, std::uint64_t> seen;
   std::uint64_t id = 1;
@@ -69,38 +69,38 @@
 }
 
 // A listing gives items by key; the later back end may come before the one that it replaced.
-BOOST_AUTO_TEST_CASE(the_last_at_an_address_is_known_in_whatever_order_they_are_listed) {
+BOOST_AUTO_TEST_CASE(latest_backend_at_address_is_independent_of_listing_order) {
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 10, now);
   registry.put("servers/b", makeRegistration(2, "other", 1, 1), 5, now);
   BOOST_TEST(registry.takesNewFlows(BackendId{1}));
-  BOOST_TEST(registry.hasEnded(BackendId{2}));
-  BOOST_TEST(!registry.hasEnded(BackendId{1}));
+  BOOST_TEST(registry.isSuperseded(BackendId{2}));
+  BOOST_TEST(!registry.isSuperseded(BackendId{1}));
 }
 
 // A write that the store took seconds late named a crashed back end after the one that had taken
 // its address; that one was given up for good.
-BOOST_AUTO_TEST_CASE(a_late_word_of_the_one_before_does_not_end_the_one_that_lives) {
+BOOST_AUTO_TEST_CASE(late_update_of_previous_backend_does_not_supersede_current_one) {
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 10, now);
   registry.put("servers/b", makeRegistration(2, "web", 1, 1), 20, now);
-  BOOST_TEST(registry.hasEnded(BackendId{1}));
+  BOOST_TEST(registry.isSuperseded(BackendId{1}));
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 30, now);
-  BOOST_TEST(!registry.hasEnded(BackendId{2}));
+  BOOST_TEST(!registry.isSuperseded(BackendId{2}));
   registry.put("servers/b", makeRegistration(2, "web", 1, 1), 40, now);
-  BOOST_TEST(!registry.hasEnded(BackendId{2}));
+  BOOST_TEST(!registry.isSuperseded(BackendId{2}));
 }
 
 // A listing with both shows the late word alone; the next word of the living one corrects that.
-BOOST_AUTO_TEST_CASE(who_writes_again_has_not_ended) {
+BOOST_AUTO_TEST_CASE(backend_that_updates_again_is_not_superseded) {
   registry.put("servers/b", makeRegistration(2, "web", 1, 1), 20, now);
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 30, now);
-  BOOST_TEST(registry.hasEnded(BackendId{2}));
+  BOOST_TEST(registry.isSuperseded(BackendId{2}));
   registry.put("servers/b", makeRegistration(2, "web", 1, 1), 40, now);
-  BOOST_TEST(!registry.hasEnded(BackendId{2}));
+  BOOST_TEST(!registry.isSuperseded(BackendId{2}));
   BOOST_TEST(registry.takesNewFlows(BackendId{2}));
 }
 
 // A list that was collected before the change went on offering it to the service that it left.
-BOOST_AUTO_TEST_CASE(one_that_registers_for_another_service_leaves_the_one_before) {
+BOOST_AUTO_TEST_CASE(changing_service_leaves_previous_service) {
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 10, now);
   BOOST_TEST(registry.candidates(web).size() == 1U);
   registry.put("servers/a", makeRegistration(1, "api", 1, 1), 20, now);
@@ -109,15 +109,15 @@
   BOOST_TEST(registry.nameOf(web).empty());
 }
 
-BOOST_AUTO_TEST_CASE(one_that_registers_at_another_address_is_not_found_at_the_one_before) {
+BOOST_AUTO_TEST_CASE(changing_address_leaves_previous_address) {
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 10, now);
   registry.put("servers/a", makeRegistration(1, "web", 1, 2), 20, now);
   registry.put("servers/b", makeRegistration(2, "web", 1, 1), 30, now);
-  BOOST_TEST(!registry.hasEnded(BackendId{1}));
+  BOOST_TEST(!registry.isSuperseded(BackendId{1}));
   BOOST_TEST(registry.candidates(web).size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(lists_that_were_collected_follow_every_change) {
+BOOST_AUTO_TEST_CASE(cached_candidate_lists_follow_every_change) {
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 1, now);
   registry.put("servers/2", makeRegistration(2, "web", 1, 2), 2, now);
   BOOST_TEST(registry.candidates(web).size() == 2U);
@@ -134,7 +134,7 @@
   BOOST_TEST(registry.activeCount() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(what_vanished_is_told_by_its_last_departure) {
+BOOST_AUTO_TEST_CASE(vanished_backends_are_reported_by_last_removal) {
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 1, now);
   registry.remove("servers/1", 2, now);
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 3, now + 1s);
@@ -145,7 +145,7 @@
   BOOST_TEST(registry.vanishedSince(web, now - 1s).empty());
 }
 
-BOOST_AUTO_TEST_CASE(pages_go_through_all_that_are_there) {
+BOOST_AUTO_TEST_CASE(pages_cover_all_present_backends) {
   for (std::uint8_t id = 1; id <= 5; ++id) {
     registry.put("servers/" + std::to_string(id), makeRegistration(id, "web", 1, id), id, now);
   }
@@ -163,7 +163,7 @@
   return item;
 }
 
-BOOST_AUTO_TEST_CASE(one_that_starts_again_under_its_id_is_told) {
+BOOST_AUTO_TEST_CASE(restart_under_same_id_is_reported) {
   registry.put("servers/1", startedAt(1000), 1, now);
   BOOST_TEST((registry.put("servers/1", startedAt(1000), 2, now) == RegistryEvent::kRefreshed));
   BOOST_TEST(registry.takeRestarted().empty());
@@ -173,7 +173,7 @@
 }
 
 // The store may take a write of the run before seconds after the new one registered.
-BOOST_AUTO_TEST_CASE(a_late_word_of_the_run_before_changes_nothing) {
+BOOST_AUTO_TEST_CASE(late_update_of_previous_incarnation_is_ignored) {
   registry.put("servers/1", startedAt(1000), 1, now);
   core::Registration next = startedAt(2000);
   next.endpoint.port = 9000;
@@ -190,14 +190,14 @@
               RegistryEvent::kRefreshed));
 }
 
-BOOST_AUTO_TEST_CASE(a_removal_ends_nobody) {
+BOOST_AUTO_TEST_CASE(removal_does_not_supersede_other_backends) {
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 10, now);
   registry.put("servers/b", makeRegistration(2, "web", 1, 1), 20, now);
   registry.retainOnly({"servers/b"}, 30, now);
-  BOOST_TEST(!registry.hasEnded(BackendId{2}));
+  BOOST_TEST(!registry.isSuperseded(BackendId{2}));
 }
 
-BOOST_AUTO_TEST_CASE(departed_back_ends_are_forgotten_in_time) {
+BOOST_AUTO_TEST_CASE(removed_backends_are_forgotten_after_retention) {
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 1, now);
   registry.remove("servers/1", 2, now);
   registry.forgetDeparted(now + 59s);
@@ -206,7 +206,7 @@
   BOOST_TEST(registry.size() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(splits_that_start_apart_keep_the_weights_between_them) {
+BOOST_AUTO_TEST_CASE(splits_with_random_offsets_keep_weights_across_daemons) {
   int first = 0;
   constexpr int kDaemons = 200;
   for (std::uint64_t start = 0; start < kDaemons; ++start) {
--- a/tests/core/listing_plan_test.cc
+++ b/tests/core/listing_plan_test.cc
@@ -11,39 +11,39 @@
 
 BOOST_AUTO_TEST_SUITE(ListingPlanTest)
 
-BOOST_AUTO_TEST_CASE(without_a_place_everything_is_listed) {
+BOOST_AUTO_TEST_CASE(without_sampling_lists_everything) {
   ListingPlan plan;
   plan.begin(std::nullopt);
   BOOST_TEST((plan.range() == ListingRange{Kind::kEverything}));
   BOOST_TEST(!plan.onPage(500, true, "k"));
-  BOOST_TEST(plan.hasBegun());
+  BOOST_TEST(plan.hasStarted());
   BOOST_TEST(plan.afterKey() == "k");
   BOOST_TEST(plan.onPage(20, false, "l"));
-  BOOST_TEST(plan.isWhole());
+  BOOST_TEST(plan.coversAllBackends());
 }
 
 // 985 daemons before 10,000 back ends: 39 of them in a fine part.
-BOOST_AUTO_TEST_CASE(a_large_fleet_reads_what_operators_wrote_and_one_part) {
+BOOST_AUTO_TEST_CASE(sample_reads_operator_items_and_one_partition) {
   ListingPlan plan;
   plan.begin(300);
   BOOST_TEST((plan.range() == ListingRange{Kind::kOperators}));
   BOOST_TEST(!plan.onPage(1, false, "op/config"));
-  BOOST_TEST((plan.range() == ListingRange{Kind::kBackendsPart, core::kFineParts, 44}));
+  BOOST_TEST((plan.range() == ListingRange{Kind::kBackendPartition, core::kFinePartitions, 44}));
   BOOST_TEST(plan.onPage(39, false, "servers/x"));
-  BOOST_TEST(!plan.isWhole());
+  BOOST_TEST(!plan.coversAllBackends());
 }
 
-BOOST_AUTO_TEST_CASE(a_part_with_too_few_is_followed_by_a_coarse_one) {
+BOOST_AUTO_TEST_CASE(small_partition_is_followed_by_coarse_partition) {
   ListingPlan plan;
   plan.begin(0x5a);
   plan.onPage(1, false, "op/config");
   BOOST_TEST(!plan.onPage(3, false, "servers/x"));
-  BOOST_TEST((plan.range() == ListingRange{Kind::kBackendsPart, core::kCoarseParts, 5}));
+  BOOST_TEST((plan.range() == ListingRange{Kind::kBackendPartition, core::kCoarsePartitions, 5}));
   BOOST_TEST(plan.onPage(40, false, "servers/y"));
-  BOOST_TEST(!plan.isWhole());
+  BOOST_TEST(!plan.coversAllBackends());
 }
 
-BOOST_AUTO_TEST_CASE(where_few_exist_all_are_listed) {
+BOOST_AUTO_TEST_CASE(few_backends_are_all_listed) {
   ListingPlan plan;
   plan.begin(7);
   plan.onPage(1, false, "op/config");
@@ -51,24 +51,24 @@
   BOOST_TEST((plan.range() == ListingRange{Kind::kBackends}));
   BOOST_TEST(!plan.onPage(500, true, "servers/x"));
   BOOST_TEST(plan.onPage(12, false, "servers/y"));
-  BOOST_TEST(plan.isWhole());
+  BOOST_TEST(plan.coversAllBackends());
 }
 
 // Keys of a form that the parts do not divide: one part is empty, or holds all.
-BOOST_AUTO_TEST_CASE(one_page_of_a_part_suffices) {
+BOOST_AUTO_TEST_CASE(one_page_of_partition_suffices) {
   ListingPlan plan;
   plan.begin(7);
   plan.onPage(1, false, "op/config");
   BOOST_TEST(plan.onPage(500, true, "servers/x"));
-  BOOST_TEST(!plan.isWhole());
+  BOOST_TEST(!plan.coversAllBackends());
 }
 
-BOOST_AUTO_TEST_CASE(a_plan_that_begins_again_forgets_where_it_was) {
+BOOST_AUTO_TEST_CASE(begin_resets_position) {
   ListingPlan plan;
   plan.begin(7);
   plan.onPage(500, true, "op/z");
   plan.begin(7);
-  BOOST_TEST(!plan.hasBegun());
+  BOOST_TEST(!plan.hasStarted());
   BOOST_TEST(plan.afterKey().empty());
   BOOST_TEST((plan.range() == ListingRange{Kind::kOperators}));
 }
--- a/tests/core/relay/relay_changes_test.cc
+++ b/tests/core/relay/relay_changes_test.cc
@@ -180,7 +180,7 @@
   starting.Relay.TakeMessages();
   ask();
   BOOST_TEST(starting.Reader.revision() > listed);
-  BOOST_TEST(!starting.Reader.isComplete());
+  BOOST_TEST(!starting.Reader.isSynchronized());
   // Three seeds would have to send a starting fleet most of the store.
   BOOST_TEST(starting.Relay.TakeMessages().empty());
   BOOST_TEST(starting.Reader.nextRead(clock).has_value());
--- a/tests/core/relay/relay_starts_test.cc
+++ b/tests/core/relay/relay_starts_test.cc
@@ -57,7 +57,7 @@
   this->RefuseAll(false);
   this->Run(700ms);
   for (auto& node : this->Nodes) {
-    BOOST_TEST(node->Reader.isComplete());
+    BOOST_TEST(node->Reader.isSynchronized());
   }
 }
 
@@ -69,7 +69,7 @@
   }
   this->Run(core::kCatchUpFromPeers + 2 * kStep);
   for (std::size_t i = kSeeds; i < 30; ++i) {
-    BOOST_TEST(this->At(i).Reader.isComplete());
+    BOOST_TEST(this->At(i).Reader.isSynchronized());
   }
 }
 
--- a/tests/core/relay/store_era_stateful_test.cc
+++ b/tests/core/relay/store_era_stateful_test.cc
@@ -33,7 +33,7 @@
   std::map<std::uint64_t, LivingBackend> Backends;
   std::map<std::string, bool> ZonesOut;
   core::ConfigurationVersion Version = 7;
-  std::optional<FakeStore::Copy> Copy;
+  std::optional<FakeStore::Snapshot> Copy;
   std::string Trace;
 
   explicit EraWorld(std::uint64_t seed)
@@ -175,7 +175,7 @@
       this->RunAll(core::Duration(this->Random.below(2000) * 1000));
       this->RefuseAll(false);
     }
-    this->Store.comeBackFrom(*this->Copy);
+    this->Store.restore(*this->Copy);
     this->Copy.reset();
     const auto knownEnds = this->KnownEnds();
     const auto knownOut = this->DaemonsThatKeepOut("b");
@@ -255,7 +255,7 @@
       }
       case 5:
         this->Note("copy");
-        this->Copy = this->Store.copy();
+        this->Copy = this->Store.snapshot();
         break;
       case 6:
         this->ComeBack();
--- a/tests/core/relay/store_era_test.cc
+++ b/tests/core/relay/store_era_test.cc
@@ -32,7 +32,7 @@
   void ComeBackOlder()
   {
     this->Run(5s);
-    const FakeStore::Copy copy = this->Store.copy();
+    const FakeStore::Snapshot copy = this->Store.snapshot();
     for (core::ConfigurationVersion version = 8; version <= 11; ++version) {
       this->ChangeRoutes(version);
       this->Run(1s);
@@ -40,7 +40,7 @@
     this->Refusal = core::ReadOutcome::kConnectionLost;
     this->RefuseAll(true);
     this->Run(2s);
-    this->Store.comeBackFrom(copy);
+    this->Store.restore(copy);
     this->ChangeRoutes(11);
     this->RefuseAll(false);
     this->Run(4s);
@@ -100,10 +100,10 @@
   a_daemon_that_began_with_the_copy_gets_the_version_written_again)
 {
   this->Run(5s);
-  const FakeStore::Copy copy = this->Store.copy();
+  const FakeStore::Snapshot copy = this->Store.snapshot();
   this->ChangeRoutes(8);
   this->Run(2s);
-  this->Store.comeBackFrom(copy);
+  this->Store.restore(copy);
   this->Run(2s);
   this->Grow(13);
   this->Run(2s);
@@ -118,14 +118,14 @@
 {
   this->AddBackends(200);
   this->Run(5s);
-  const FakeStore::Copy copy = this->Store.copy();
+  const FakeStore::Snapshot copy = this->Store.snapshot();
   this->ChangeRoutes(8);
   this->Run(2s);
-  this->Store.comeBackFrom(copy);
+  this->Store.restore(copy);
   this->ChangeRoutes(9);
   BOOST_TEST((this->TimeUntilInForce(9) <= kInForceWithin));
   const core::Revision before = this->At(0).Reader.history().GetGap().From;
-  BOOST_TEST(this->At(0).Backends.changesSince(before).dated.empty());
+  BOOST_TEST(this->At(0).Backends.changesSince(before).exactChanges.empty());
   BOOST_TEST(this->At(0).Backends.size() == 201U);
 }
 
@@ -134,7 +134,7 @@
   this->ChangeRoutes(8);
   this->Run(5s);
   const core::Revision written = this->Store.revision();
-  this->Store.comeBackFrom(this->Store.copy());
+  this->Store.restore(this->Store.snapshot());
   this->Run(2s);
   for (const auto& node : this->Nodes) {
     BOOST_TEST((node->Reader.revision().era == this->Store.era()));
@@ -146,12 +146,12 @@
 /// of; nobody has it any more when all meet again.
 struct LostAddition : ReturningStore
 {
-  FakeStore::Copy Before;
+  FakeStore::Snapshot Before;
 
   void AddBehindTheSeeds()
   {
     this->Run(5s);
-    this->Before = this->Store.copy();
+    this->Before = this->Store.snapshot();
     for (std::size_t i = 0; i < kSeeds; ++i) {
       this->At(i).PeersCut = this->At(i).StoreSilent = true;
     }
@@ -179,7 +179,7 @@
   LostAddition)
 {
   this->AddBehindTheSeeds();
-  this->Store.comeBackFrom(this->Before);
+  this->Store.restore(this->Before);
   this->Store.put("servers/3", makeRegistration(3, "web", 1, 3));
   this->Meet();
   BOOST_TEST(this->CountThatPlaceOn(2) == 0U);
--- a/tests/core/relay/view_fill_test.cc
+++ b/tests/core/relay/view_fill_test.cc
@@ -36,7 +36,7 @@
     this->Grow(count);
     std::uint32_t place = 0;
     for (auto& node : this->Nodes) {
-      node->Reader.setSampled(place += 6);
+      node->Reader.enableSampling(place += 6);
     }
   }
 
@@ -51,7 +51,7 @@
   {
     return std::all_of(
       this->Nodes.begin(), this->Nodes.end(), [](const auto& node) {
-        return !node->Alive || node->Reader.isWhole();
+        return !node->Alive || node->Reader.hasAllBackends();
       });
   }
 
@@ -90,7 +90,7 @@
   this->Start(kManyBackends);
   this->Run(400ms);
   for (auto& node : this->Nodes) {
-    BOOST_TEST(node->Reader.isComplete());
+    BOOST_TEST(node->Reader.isSynchronized());
     BOOST_TEST(this->CountActive(*node) > 0U);
   }
   this->TimeUntilWhole();
@@ -119,7 +119,7 @@
   this->Run(200ms);
   std::map<core::BackendId, std::size_t> known;
   for (auto& node : this->Nodes) {
-    if (!node->Reader.isWhole()) {
+    if (!node->Reader.hasAllBackends()) {
       for (const auto& candidate :
            node->Backends.candidates(core::serviceIdOf("web"))) {
         ++known[candidate.id];
@@ -167,7 +167,7 @@
   this->Run(400ms);
   this->At(9).PeersCut = true;
   this->Run(2s);
-  BOOST_TEST(!this->At(9).Reader.isWhole());
+  BOOST_TEST(!this->At(9).Reader.hasAllBackends());
   this->At(9).PeersCut = false;
   BOOST_TEST((this->TimeUntilWhole() < 10s));
 }
@@ -183,11 +183,11 @@
   late.ItemsRead = 0;
   this->Nodes[20] = std::make_unique<Node>(21, 500s);
   this->Grow(kDaemons);
-  this->At(20).Reader.setSampled(77);
+  this->At(20).Reader.enableSampling(77);
   this->Run(400ms);
   this->RefuseAll(true);
   this->Run(2s);
-  BOOST_TEST(this->At(20).Reader.isWhole());
+  BOOST_TEST(this->At(20).Reader.hasAllBackends());
   BOOST_TEST(this->CountItemsRead() < before + 8 * core::kPlacementLooks);
 }
 
@@ -254,7 +254,7 @@
   this->Start(kManyBackends);
   this->Run(200ms);
   Node& sampled = this->At(30);
-  BOOST_REQUIRE(!sampled.Reader.isWhole());
+  BOOST_REQUIRE(!sampled.Reader.hasAllBackends());
   sampled.Fill.TakeMessages();
   sampled.Fill.OnRequest({ this->At(31).Address, "", 0 },
                          sampled.Clock(this->Now));
@@ -269,7 +269,7 @@
   this->Start(kManyBackends);
   this->Run(400ms);
   Node& node = this->At(30);
-  BOOST_REQUIRE(!node.Reader.isWhole());
+  BOOST_REQUIRE(!node.Reader.hasAllBackends());
   core::ViewPage refusal;
   refusal.sender = this->At(0).Address;
   refusal.whole = { node.Address };
@@ -285,14 +285,14 @@
   this->Start(kManyBackends);
   this->Run(400ms);
   Node& node = this->At(30);
-  BOOST_REQUIRE(node.Reader.isComplete());
-  BOOST_REQUIRE(!node.Reader.isWhole());
+  BOOST_REQUIRE(node.Reader.isSynchronized());
+  BOOST_REQUIRE(!node.Reader.hasAllBackends());
   core::ViewPage page;
   page.sender = this->At(0).Address;
   page.revision = node.Reader.baseRevision() - 1;
   page.isLast = true;
   BOOST_TEST(!node.Fill.OnPage(page, node.Clock(this->Now)));
-  BOOST_TEST(!node.Reader.isWhole());
+  BOOST_TEST(!node.Reader.hasAllBackends());
   BOOST_TEST(node.Fill.GetCounters().TooOld == 1U);
 }
 
--- a/tests/core/relay/view_relay_test.cc
+++ b/tests/core/relay/view_relay_test.cc
@@ -21,7 +21,7 @@
   this->Run(5s);
   BOOST_TEST(this->CountReading() == 1U);
   for (auto& node : this->Nodes) {
-    BOOST_TEST(node->Reader.isComplete());
+    BOOST_TEST(node->Reader.isSynchronized());
     BOOST_TEST(node->Reader.isCurrent(node->Clock(this->Now)));
   }
   const std::uint64_t before = this->CountCalls();
--- a/tests/core/restarted_backends_test.cc
+++ b/tests/core/restarted_backends_test.cc
@@ -20,19 +20,19 @@
 
   RestartedBackendsFixture() { steering.setOutliers(&outliers); }
 
-  static core::Registration run(std::uint64_t startedAtMs) {
+  static core::Registration incarnation(std::uint64_t startedAtMs) {
     core::Registration registration = makeRegistration(1, "web", 1, 1);
     registration.startedAtMs = startedAtMs;
     return registration;
   }
 
   void restart() {
-    putBackend(1, run(1000));
-    putBackend(1, run(2000));
+    putBackend(1, incarnation(1000));
+    putBackend(1, incarnation(2000));
   }
 
   /// Leaves an opening on the back end unanswered until it is proven dead.
-  void kill(BackendId backend) {
+  void markDead(BackendId backend) {
     std::uint16_t port = 500;
     for (BackendId opened = backendOf(open(port)); opened != backend;
          opened = backendOf(open(++port))) {
@@ -48,18 +48,18 @@
 
 BOOST_FIXTURE_TEST_SUITE(RestartedBackendsTest, RestartedBackendsFixture)
 
-// The dead run's proof of death reset flows that other daemons had opened at the new one.
-BOOST_AUTO_TEST_CASE(a_proof_of_death_ends_with_the_run) {
-  putBackend(1, run(1000));
-  kill(BackendId{1});
-  putBackend(1, run(2000));
+// The dead incarnation's proof of death reset flows that other daemons had opened at the new one.
+BOOST_AUTO_TEST_CASE(restart_clears_dead_state) {
+  putBackend(1, incarnation(1000));
+  markDead(BackendId{1});
+  putBackend(1, incarnation(2000));
   steering.onViewChanged();
   BOOST_TEST(!steering.health().isDead(BackendId{1}));
   BOOST_TEST((ruleOf(send(9, BackendId{1}, 1, 100)) == RouteReason::kCarriedToken));
 }
 
-BOOST_AUTO_TEST_CASE(flows_of_the_run_before_no_longer_count_and_are_not_reset_here) {
-  putBackend(1, run(1000));
+BOOST_AUTO_TEST_CASE(flows_of_previous_incarnation_are_dropped_without_reset) {
+  putBackend(1, incarnation(1000));
   std::uint16_t port = 1;
   while (openAndAnswer(port) != BackendId{1}) {
     now += 200ms;
@@ -67,21 +67,21 @@
   }
   steering.takeResets();
   BOOST_TEST(steering.flows().openOn(BackendId{1}) > 0U);
-  putBackend(1, run(2000));
+  putBackend(1, incarnation(2000));
   steering.onViewChanged();
   BOOST_TEST(steering.flows().openOn(BackendId{1}) == 0U);
   BOOST_TEST(steering.takeResets().empty());
 }
 
-BOOST_AUTO_TEST_CASE(an_outlier_that_starts_again_is_none) {
-  putBackend(1, run(1000));
+BOOST_AUTO_TEST_CASE(restart_clears_outlier_state) {
+  putBackend(1, incarnation(1000));
   outliers.Adopt({BackendId{1}}, now);
-  putBackend(1, run(2000));
+  putBackend(1, incarnation(2000));
   steering.onViewChanged();
   BOOST_TEST(!outliers.IsOutlier(BackendId{1}));
 }
 
-BOOST_AUTO_TEST_CASE(an_entry_that_turns_unreadable_takes_the_back_end_out_and_keeps_its_flows) {
+BOOST_AUTO_TEST_CASE(unreadable_item_drains_backend_and_keeps_its_flows) {
   const BackendId backend = openAndAnswer(1);
   const std::string key = keyOf(static_cast<std::uint64_t>(backend));
   updater.onChange({key, ++revision, core::UnreadableItem{"bytes"}}, now);
@@ -99,7 +99,7 @@
 }
 
 // Followers learn of the store by changes alone.
-BOOST_AUTO_TEST_CASE(who_follows_is_told_that_an_entry_turned_unreadable) {
+BOOST_AUTO_TEST_CASE(unreadable_item_is_logged_as_draining_for_followers) {
   log.Close(revision);
   updater.onChange({keyOf(1), ++revision, core::UnreadableItem{"bytes"}}, now);
   log.Close(revision);
@@ -110,7 +110,7 @@
   BOOST_TEST((told.state == core::BackendState::kLeaving));
 }
 
-BOOST_AUTO_TEST_CASE(an_unreadable_entry_of_nobody_changes_nothing) {
+BOOST_AUTO_TEST_CASE(unreadable_item_of_unknown_key_changes_nothing) {
   const std::size_t before = steering.backends().size();
   updater.onChange({keyOf(77), ++revision, core::UnreadableItem{"bytes"}}, now);
   BOOST_TEST(steering.backends().size() == before);
@@ -119,7 +119,7 @@
 }
 
 // A listing taken as the truth would let it vanish, and so be a last resort again.
-BOOST_AUTO_TEST_CASE(an_unreadable_entry_in_a_listing_is_no_last_resort) {
+BOOST_AUTO_TEST_CASE(unreadable_item_in_listing_is_not_a_fallback_target) {
   updater.onChange({keyOf(1), ++revision, core::UnreadableItem{"bytes"}}, now);
   steering.backends().remove(keyOf(2), ++revision, now);
   steering.backends().remove(keyOf(3), ++revision, now);
--- a/tests/core/sampled_view_test.cc
+++ b/tests/core/sampled_view_test.cc
@@ -35,7 +35,7 @@
     for (std::uint64_t id = 1; id <= kBackends; ++id) {
       store.put(keyOf(id), backend(id));
     }
-    reader.setSampled(3);
+    reader.enableSampling(3);
   }
 
   static std::string keyOf(std::uint64_t id) { return "servers/" + std::to_string(id); }
@@ -57,13 +57,13 @@
   }
   /// Reads until flows can be taken.
   void begin() {
-    while (!reader.isComplete()) {
+    while (!reader.isSynchronized()) {
       answerNext();
     }
   }
-  void fill() {
-    reader.setFilling(true);
-    while (!reader.isWhole()) {
+  void backfillAll() {
+    reader.setBackfilling(true);
+    while (!reader.hasAllBackends()) {
       answerNext();
     }
   }
@@ -79,35 +79,35 @@
 BOOST_FIXTURE_TEST_SUITE(SampledViewTest, SampledViewFixture)
 
 // Before, a view of 10,000 back ends took 21 reads and 2 MB before the first opening.
-BOOST_AUTO_TEST_CASE(flows_are_taken_after_two_listings_and_a_watch) {
+BOOST_AUTO_TEST_CASE(accepts_flows_after_two_listings_and_a_watch) {
   BOOST_TEST((answerNext().range.kind == Kind::kOperators));
-  BOOST_TEST((answerNext().range.kind == Kind::kBackendsPart));
+  BOOST_TEST((answerNext().range.kind == Kind::kBackendPartition));
   BOOST_TEST((answerNext().kind == StoreRead::Kind::kWatch));
-  BOOST_TEST(reader.isComplete());
-  BOOST_TEST(!reader.isWhole());
+  BOOST_TEST(reader.isSynchronized());
+  BOOST_TEST(!reader.hasAllBackends());
   BOOST_TEST(routes.version() == 7U);
   BOOST_TEST(backends.size() >= core::kPlacementLooks);
   BOOST_TEST(backends.size() <= 100U);
 }
 
-BOOST_AUTO_TEST_CASE(missing_pages_take_turns_with_watches_and_end) {
+BOOST_AUTO_TEST_CASE(backfill_pages_alternate_with_watches_until_done) {
   begin();
-  reader.setFilling(true);
+  reader.setBackfilling(true);
   BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
   const StoreRead watch = answerNext();
   BOOST_TEST((watch.kind == StoreRead::Kind::kWatch));
   BOOST_TEST((watch.wait == core::kCatchUpWait));
   BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
-  fill();
+  backfillAll();
   BOOST_TEST(backends.size() == kBackends);
   BOOST_TEST((nextRead().kind == StoreRead::Kind::kWatch));
 }
 
-BOOST_AUTO_TEST_CASE(a_daemon_that_follows_reads_missing_pages_alone) {
+BOOST_AUTO_TEST_CASE(follower_reads_only_backfill_pages) {
   begin();
   reader.setActive(false);
   BOOST_TEST(!reader.isActive());
-  reader.setFilling(true);
+  reader.setBackfilling(true);
   BOOST_TEST(reader.isActive());
   BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
   BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
@@ -118,13 +118,13 @@
 }
 
 // Followers would take back ends that were there all the time for changes.
-BOOST_AUTO_TEST_CASE(missing_back_ends_are_no_changes) {
+BOOST_AUTO_TEST_CASE(backfilled_backends_are_not_logged_as_changes) {
   begin();
   log.Close(reader.revision());
   changes.clear();
-  fill();
+  backfillAll();
   BOOST_REQUIRE(changes.size() == 1U);
-  BOOST_TEST((changes[0].kind == core::ViewChange::Kind::kWhole));
+  BOOST_TEST((changes[0].kind == core::ViewChange::Kind::kAllBackendsKnown));
   BOOST_TEST(changes[0].backends == kBackends);
   store.put("servers/1", core::RemovedItem{});
   while (backends.candidates(core::serviceIdOf("web")).size() == kBackends) {
@@ -136,19 +136,19 @@
   BOOST_TEST(excerpt->Changes.size() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(an_older_page_does_not_bring_back_what_was_removed) {
+BOOST_AUTO_TEST_CASE(older_backfill_page_does_not_restore_removed_backend) {
   begin();
   const std::uint64_t id = unknownId();
   const core::StoreChange seen{keyOf(id), id + 1, backend(id)};
   updater.onChange({keyOf(id), store.revision() + 1, core::RemovedItem{}}, now);
-  updater.onMissing(seen, now);
+  updater.onMissingItem(seen, now);
   BOOST_TEST(!backends.takesNewFlows(core::BackendId{id}));
   // One that registered again after that is another matter.
-  updater.onMissing({keyOf(id), store.revision() + 2, backend(id)}, now);
+  updater.onMissingItem({keyOf(id), store.revision() + 2, backend(id)}, now);
   BOOST_TEST(backends.takesNewFlows(core::BackendId{id}));
 }
 
-BOOST_AUTO_TEST_CASE(a_sample_without_history_is_drawn_again) {
+BOOST_AUTO_TEST_CASE(lost_history_during_sampling_restarts_sample) {
   store.freezeStale();
   store.put(keyOf(kBackends + 1), backend(kBackends + 1));
   store.compact();
@@ -160,11 +160,11 @@
   BOOST_TEST(!again.stale);
   reader.onReply(store.answer(again), now);
   answerNext();
-  BOOST_TEST(reader.isComplete());
-  BOOST_TEST(!reader.isWhole());
+  BOOST_TEST(reader.isSynchronized());
+  BOOST_TEST(!reader.hasAllBackends());
 }
 
-BOOST_AUTO_TEST_CASE(a_view_in_use_without_history_lists_everything) {
+BOOST_AUTO_TEST_CASE(lost_history_with_view_in_use_lists_everything) {
   begin();
   store.compact();
   store.put(keyOf(1), core::RemovedItem{});
@@ -176,20 +176,20 @@
 }
 
 // The listing goes on after a peer gave a whole view: its end must take nothing away.
-BOOST_AUTO_TEST_CASE(a_sample_that_ends_late_takes_nothing_from_a_whole_view) {
+BOOST_AUTO_TEST_CASE(late_sample_does_not_remove_backends_from_full_view) {
   answerNext();
   const StoreRead part = nextRead();
   for (std::uint64_t id = 1; id <= kBackends; ++id) {
     updater.onChange({keyOf(id), id + 1, backend(id)}, now);
   }
   reader.adopt(store.revision());
-  reader.onFilled();
+  reader.markAllBackendsKnown();
   reader.onReply(store.answer(part), now);
-  BOOST_TEST(reader.isWhole());
+  BOOST_TEST(reader.hasAllBackends());
   BOOST_TEST(backends.candidates(core::serviceIdOf("web")).size() == kBackends);
 }
 
-BOOST_AUTO_TEST_CASE(a_small_fleet_has_a_whole_view_at_once) {
+BOOST_AUTO_TEST_CASE(small_fleet_gets_full_view_at_once) {
   FakeStore small;
   small.put("op/config", makeRoutes(7, {{1, "web"}}));
   for (std::uint64_t id = 1; id <= 18; ++id) {
@@ -197,7 +197,7 @@
   }
   std::swap(store, small);
   begin();
-  BOOST_TEST(reader.isWhole());
+  BOOST_TEST(reader.hasAllBackends());
   BOOST_TEST(backends.size() == 18U);
   BOOST_TEST(reader.counters().lists == 3U);
 }
--- a/tests/core/store_era_reader_test.cc
+++ b/tests/core/store_era_reader_test.cc
@@ -13,7 +13,7 @@
 using core::ReadOutcome;
 using namespace std::chrono_literals;
 
-struct EraReaderFixture {
+struct StoreEraReaderFixture {
   sim::SeededRandom random{1};
   core::EqualWeights weights;
   core::BackendRegistry backends{60s, weights};
@@ -23,7 +23,7 @@
   FakeStore store;
   core::Time now = 1s;
 
-  EraReaderFixture() {
+  StoreEraReaderFixture() {
     for (std::uint64_t id = 1; id <= 3; ++id) {
       add(id);
     }
@@ -48,15 +48,15 @@
   std::size_t candidates() { return backends.candidates(core::serviceIdOf("web")).size(); }
 };
 
-BOOST_FIXTURE_TEST_SUITE(StoreEraReaderTest, EraReaderFixture)
+BOOST_FIXTURE_TEST_SUITE(StoreEraReaderTest, StoreEraReaderFixture)
 
 // The store has given out again more revisions than this view had seen, so that a watch from there
 // is answered: by what came after, without what came before.
-BOOST_AUTO_TEST_CASE(a_watch_that_a_later_copy_answers_misses_nothing) {
-  const FakeStore::Copy copy = store.copy();
+BOOST_AUTO_TEST_CASE(watch_answered_by_restored_store_relists) {
+  const FakeStore::Snapshot snapshot = store.snapshot();
   add(4);
   answerNext();
-  store.comeBackFrom(copy);
+  store.restore(snapshot);
   for (std::uint64_t id = 5; id <= 7; ++id) {
     add(id);
   }
@@ -69,13 +69,12 @@
 }
 
 // A peer's changes have moved the view into the new era while the watch was under way.
-BOOST_AUTO_TEST_CASE(
-    a_watch_from_an_earlier_era_counts_for_nothing_after_a_peer_told_of_the_new_one) {
-  const FakeStore::Copy copy = store.copy();
+BOOST_AUTO_TEST_CASE(watch_from_earlier_era_is_discarded_after_peer_update) {
+  const FakeStore::Snapshot snapshot = store.snapshot();
   add(4);
   answerNext();
   const core::StoreRead watch = nextRead();
-  store.comeBackFrom(copy);
+  store.restore(snapshot);
   add(5);
   reader.adopt(store.revision());
   for (std::uint64_t id = 6; id <= 8; ++id) {
@@ -84,26 +83,26 @@
   BOOST_TEST((reader.onReply(store.answer(watch), now) == ReadOutcome::kHistoryGone));
 }
 
-BOOST_AUTO_TEST_CASE(an_answer_of_an_earlier_copy_is_refused) {
+BOOST_AUTO_TEST_CASE(answer_of_earlier_era_is_rejected) {
   const FakeStore before = store;
-  store.comeBackFrom(store.copy());
+  store.restore(store.snapshot());
   answerNext();
   answerNext();
   const core::Revision revision = reader.revision();
-  BOOST_TEST((reader.onReply(before.answer(nextRead()), now) == ReadOutcome::kEraOver));
+  BOOST_TEST((reader.onReply(before.answer(nextRead()), now) == ReadOutcome::kOutdatedEra));
   BOOST_TEST(reader.revision() == revision);
   BOOST_TEST(reader.isFailing());
   BOOST_TEST((answerNext() == ReadOutcome::kAnswered));
 }
 
-BOOST_AUTO_TEST_CASE(pages_of_two_copies_make_no_listing) {
+BOOST_AUTO_TEST_CASE(listing_with_pages_of_two_eras_restarts) {
   store.compact();
   store.pageSize = 2;
-  const FakeStore::Copy copy = store.copy();
-  store.comeBackFrom(copy);
+  const FakeStore::Snapshot snapshot = store.snapshot();
+  store.restore(snapshot);
   BOOST_TEST((answerNext() == ReadOutcome::kHistoryGone));
   answerNext();
-  store.comeBackFrom(copy);
+  store.restore(snapshot);
   add(0x10);
   BOOST_TEST((answerNext() == ReadOutcome::kHistoryGone));
   while (reader.isListing()) {
@@ -113,12 +112,12 @@
   BOOST_TEST(reader.revision() == store.revision());
 }
 
-BOOST_AUTO_TEST_CASE(several_returns_in_a_row_are_one_loss_each) {
+BOOST_AUTO_TEST_CASE(each_restore_counts_as_one_history_loss) {
   for (std::uint64_t id = 10; id < 15; ++id) {
-    const FakeStore::Copy copy = store.copy();
+    const FakeStore::Snapshot snapshot = store.snapshot();
     add(id);
     answerNext();
-    store.comeBackFrom(copy);
+    store.restore(snapshot);
     BOOST_TEST((answerNext() == ReadOutcome::kHistoryGone));
     answerNext();
     BOOST_TEST(candidates() == 3U);
--- a/tests/core/store_reader_test.cc
+++ b/tests/core/store_reader_test.cc
@@ -55,9 +55,9 @@
 
 BOOST_FIXTURE_TEST_SUITE(StoreReaderTest, ReaderFixture)
 
-BOOST_AUTO_TEST_CASE(reads_that_others_make_as_well_are_repeated_rarely) {
+BOOST_AUTO_TEST_CASE(failing_reads_back_off_longer_with_other_readers) {
   begin();
-  reader.setCovered(true);
+  reader.setHasOtherReaders(true);
   for (std::uint32_t i = 0; i < core::kTriesBeforeRare; ++i) {
     failNext(ReadOutcome::kUnavailable);
     BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
@@ -67,50 +67,50 @@
   BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffCovered));
   BOOST_TEST(!reader.nextRead(now + core::kReadBackOffLongest).has_value());
   // Sooner where changes have to be in force sooner.
-  reader.setPace(core::kWatchWait / 2, core::kViewCurrentFor, core::kReadBackOffCovered / 2);
+  reader.setReadTimings(core::kWatchWait / 2, core::kViewCurrentFor, core::kReadBackOffCovered / 2);
   failNext(ReadOutcome::kUnavailable);
   BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffCovered / 2));
 }
 
-BOOST_AUTO_TEST_CASE(a_reader_that_may_follow_leaves_a_pause_and_watches_for_less) {
+BOOST_AUTO_TEST_CASE(pauses_and_shortens_watches_with_other_readers) {
   begin();
-  reader.setCovered(true);
+  reader.setHasOtherReaders(true);
   now += 5s;
   answerNext();
   BOOST_TEST((reader.nextReadAt() - now == core::kLetOthersRead));
   BOOST_TEST((nextRead().wait == core::kWatchWait - core::kLetOthersRead));
   reader.onReply(store.answer({}), now);
   // Not where packets wait for a back end.
-  reader.onWanted(now);
+  reader.onBackendNeeded(now);
   answerNext();
   BOOST_TEST((reader.nextReadAt() == now));
   BOOST_TEST((nextRead().wait == core::kWatchWait));
 }
 
-BOOST_AUTO_TEST_CASE(a_catch_up_that_was_put_off_comes_at_once_where_packets_wait) {
+BOOST_AUTO_TEST_CASE(deferred_catch_up_runs_at_once_when_packets_wait) {
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
-  reader.setCovered(true);
+  reader.setHasOtherReaders(true);
   answerNext();
   BOOST_REQUIRE(reader.isCatchingUp());
-  reader.putOff(now + core::kCatchUpFromPeers);
+  reader.deferRead(now + core::kCatchUpFromPeers);
   BOOST_TEST(!reader.nextRead(now).has_value());
-  reader.onWanted(now);
+  reader.onBackendNeeded(now);
   answerNext();
-  BOOST_TEST(reader.isComplete());
+  BOOST_TEST(reader.isSynchronized());
 }
 
 // After a loss of power 170 of 295 daemons read once more at once, since packets had waited for
 // their first view (cflc-quotes-large trouble-2).
-BOOST_AUTO_TEST_CASE(what_waited_for_the_first_view_makes_no_change_urgent) {
-  reader.setCovered(true);
-  reader.onWanted(now);
+BOOST_AUTO_TEST_CASE(packets_waiting_for_first_view_do_not_make_changes_urgent) {
+  reader.setHasOtherReaders(true);
+  reader.onBackendNeeded(now);
   begin();
   BOOST_TEST((reader.nextReadAt() - now == core::kLetOthersRead));
 }
 
-BOOST_AUTO_TEST_CASE(a_rare_read_comes_at_once_where_it_is_urgent_or_nobody_else_reads) {
+BOOST_AUTO_TEST_CASE(deferred_retry_runs_when_urgent_or_without_other_readers) {
   begin();
-  reader.setCovered(true);
+  reader.setHasOtherReaders(true);
   for (std::uint32_t i = 0; i <= core::kTriesBeforeRare; ++i) {
     failNext(ReadOutcome::kUnavailable);
   }
@@ -118,36 +118,36 @@
   BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
   reader.setUrgent(false);
   BOOST_TEST((reader.nextReadAt() - now > core::kReadBackOffLongest));
-  reader.setCovered(false);
+  reader.setHasOtherReaders(false);
   BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
 }
 
-BOOST_AUTO_TEST_CASE(a_read_that_fails_as_those_of_others_is_rare_at_once) {
+BOOST_AUTO_TEST_CASE(failing_read_is_deferred_when_other_readers_fail) {
   begin();
-  reader.setCovered(true);
-  reader.setOthersFail(8s);
+  reader.setHasOtherReaders(true);
+  reader.setOtherReadersFailing(8s);
   failNext(ReadOutcome::kUnavailable);
   BOOST_TEST((reader.nextReadAt() - now >= 4s));
   BOOST_TEST((reader.nextReadAt() - now <= 8s));
   // None of it where nobody else reads any more.
-  reader.setCovered(false);
+  reader.setHasOtherReaders(false);
   BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
 }
 
-BOOST_AUTO_TEST_CASE(a_read_is_put_off_unless_it_is_urgent_or_nobody_else_reads) {
+BOOST_AUTO_TEST_CASE(read_is_deferred_unless_urgent_or_without_other_readers) {
   begin();
   now = reader.nextReadAt();
-  reader.putOff(now + 2s);
+  reader.deferRead(now + 2s);
   BOOST_TEST(reader.nextRead(now).has_value());
   reader.onReply(store.answer({}), now);
-  reader.setCovered(true);
-  reader.putOff(now + 2s);
+  reader.setHasOtherReaders(true);
+  reader.deferRead(now + 2s);
   BOOST_TEST(!reader.nextRead(now + 1s).has_value());
   reader.setUrgent(true);
   BOOST_TEST(reader.nextRead(now + 1s).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(each_read_tells_its_cause) {
+BOOST_AUTO_TEST_CASE(each_read_reports_its_cause) {
   using Cause = StoreRead::Cause;
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
   StoreRead last;
@@ -169,12 +169,12 @@
   reader.onResume(now);
   BOOST_TEST((causeOfNext() == Cause::kConfirm));
   reader.onReply(failedRead(ReadOutcome::kHistoryGone), now);
-  BOOST_TEST((causeOfNext() == Cause::kListAgain));
+  BOOST_TEST((causeOfNext() == Cause::kRelist));
 }
 
 BOOST_AUTO_TEST_CASE(lists_then_watches_from_the_listing) {
   begin();
-  BOOST_TEST(reader.isComplete());
+  BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(routes.version() == 7U);
   BOOST_TEST(activeBackends() == 2U);
   const StoreRead read = nextRead();
@@ -190,7 +190,7 @@
 
 // At 100 machines it took 8 s until all were serving again after all had been killed: listings of
 // 1,001 back ends exhausted the store's reads.
-BOOST_AUTO_TEST_CASE(the_first_listing_is_stale_and_counts_once_it_is_brought_up_to_date) {
+BOOST_AUTO_TEST_CASE(first_listing_is_stale_until_watch_catches_up) {
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
   store.put("servers/1", makeRegistration(1, "web", 1, 1));
   store.freezeStale();
@@ -199,20 +199,20 @@
   const StoreRead list = nextRead();
   BOOST_TEST(list.stale);
   reader.onReply(store.answer(list), now);
-  BOOST_TEST(!reader.isComplete());
+  BOOST_TEST(!reader.isSynchronized());
   BOOST_TEST(!reader.isCurrent(now));
   const StoreRead watch = nextRead();
   BOOST_TEST(watch.afterRevision == 2U);
   BOOST_TEST(watch.wait.count() == core::kCatchUpWait.count());
   reader.onReply(store.answer(watch), now);
-  BOOST_TEST(reader.isComplete());
+  BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(routes.version() == 8U);
   BOOST_TEST(activeBackends() == 0U);
 }
 
 // With stale listings throughout, a watch that began before the kept history was told so again and
 // again (a trial of an earlier program: seconds of old view).
-BOOST_AUTO_TEST_CASE(a_stale_listing_older_than_the_history_is_followed_by_a_current_one) {
+BOOST_AUTO_TEST_CASE(stale_listing_before_kept_history_is_relisted) {
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
   store.freezeStale();
   store.put("servers/1", makeRegistration(1, "web", 1, 1));
@@ -223,17 +223,17 @@
   BOOST_TEST((read.kind == StoreRead::Kind::kList));
   BOOST_TEST(!read.stale);
   reader.onReply(store.answer(read), now);
-  BOOST_TEST(reader.isComplete());
+  BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(activeBackends() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(pages_of_different_age_are_followed_from_the_oldest) {
+BOOST_AUTO_TEST_CASE(watch_starts_from_oldest_page) {
   core::StoreReply newer;
-  newer.at = 20;
+  newer.revision = 20;
   newer.hasMore = true;
   newer.lastKey = "a";
   core::StoreReply older;
-  older.at = 15;
+  older.revision = 15;
   nextRead();
   reader.onReply(newer, now);
   nextRead();
@@ -241,7 +241,7 @@
   BOOST_TEST(nextRead().afterRevision == 15U);
 }
 
-BOOST_AUTO_TEST_CASE(takes_changes_that_happen_between_pages) {
+BOOST_AUTO_TEST_CASE(applies_changes_between_pages) {
   store.pageSize = 1;
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
   store.put("servers/1", makeRegistration(1, "web", 1, 1));
@@ -253,12 +253,12 @@
   store.put("servers/1", core::RemovedItem{});
   answerNext();
   answerNext();
-  BOOST_TEST(reader.isComplete());
+  BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(routes.version() == 8U);
   BOOST_TEST(activeBackends() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(lists_again_where_the_history_is_gone) {
+BOOST_AUTO_TEST_CASE(relists_when_history_is_gone) {
   begin();
   store.put("servers/1", core::RemovedItem{});
   store.compact();
@@ -270,10 +270,10 @@
   BOOST_TEST(activeBackends() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(an_older_item_never_replaces_a_newer_one) {
+BOOST_AUTO_TEST_CASE(older_item_never_replaces_newer_one) {
   begin();
   core::StoreReply late;
-  late.at = 2;
+  late.revision = 2;
   core::Registration old = makeRegistration(1, "other", 1, 9);
   late.changes.push_back({"servers/1", 1, old});
   late.changes.push_back({"op/config", 1, makeRoutes(6, {{1, "old"}})});
@@ -285,7 +285,7 @@
 }
 
 // What other writers put there names no back end for use.
-BOOST_AUTO_TEST_CASE(an_unreadable_item_takes_its_back_end_out_and_is_reported) {
+BOOST_AUTO_TEST_CASE(unreadable_item_drains_backend_and_is_reported) {
   begin();
   changes.clear();
   store.put("servers/1", core::UnreadableItem{"no address"});
@@ -306,7 +306,7 @@
 
 // A store that was just about to drop its history parked the watch that came at once after the cut,
 // and answered it only with the next change: routes stayed five seconds behind (trouble-3).
-BOOST_AUTO_TEST_CASE(a_watch_that_was_cut_is_confirmed_by_a_short_one) {
+BOOST_AUTO_TEST_CASE(lost_watch_is_followed_by_short_watch) {
   begin();
   failNext(ReadOutcome::kConnectionLost);
   const StoreRead read = nextRead();
@@ -317,7 +317,7 @@
   BOOST_TEST(nextRead().wait.count() == core::kWatchWait.count());
 }
 
-BOOST_AUTO_TEST_CASE(time_outs_grow_and_shrink_again) {
+BOOST_AUTO_TEST_CASE(timeouts_grow_and_reset) {
   const core::Duration first = nextRead().timeout;
   reader.onReply(failedRead(ReadOutcome::kTimedOut), now);
   BOOST_TEST(nextRead().timeout.count() == first.count());
@@ -330,7 +330,7 @@
   BOOST_TEST(nextRead().timeout.count() == first.count());
 }
 
-BOOST_AUTO_TEST_CASE(a_store_that_refuses_is_not_hammered) {
+BOOST_AUTO_TEST_CASE(retries_against_failing_store_are_bounded) {
   begin();
   std::size_t reads = 0;
   for (const core::Time end = now + 10s; now < end; ++reads) {
@@ -342,7 +342,7 @@
 }
 
 // Every change of a burst cost every daemon a call (848 calls on cflc scale-1).
-BOOST_AUTO_TEST_CASE(a_burst_of_changes_costs_few_reads) {
+BOOST_AUTO_TEST_CASE(burst_of_changes_is_batched) {
   begin();
   const std::uint64_t watchesBefore = reader.counters().watches;
   const core::Time end = now + 4s;
@@ -360,18 +360,18 @@
 }
 
 // Back ends registered one after the other, and openings crowded on the first ones (ptf scale-2).
-BOOST_AUTO_TEST_CASE(changes_that_packets_wait_for_are_taken_at_once) {
+BOOST_AUTO_TEST_CASE(reads_at_once_while_packets_wait) {
   begin();
   for (std::uint64_t id = 10; id < 20; ++id) {
     now += 100ms;
-    reader.onWanted(now);
+    reader.onBackendNeeded(now);
     store.put("servers/" + std::to_string(id), makeRegistration(id, "web", 2, 1));
     answerNext();
     BOOST_TEST(reader.nextReadAt().count() == now.count());
   }
 }
 
-BOOST_AUTO_TEST_CASE(a_single_change_is_followed_by_a_watch_at_once) {
+BOOST_AUTO_TEST_CASE(single_change_is_followed_by_immediate_watch) {
   begin();
   now += 5s;
   store.put("servers/3", makeRegistration(3, "web", 1, 3));
@@ -379,7 +379,7 @@
   BOOST_TEST(reader.nextReadAt().count() == now.count());
 }
 
-BOOST_AUTO_TEST_CASE(a_resumed_process_reads_at_once) {
+BOOST_AUTO_TEST_CASE(resumed_process_reads_immediately) {
   begin();
   nextRead();
   now += 5s;
--- a/tests/core/token_openings_test.cc
+++ b/tests/core/token_openings_test.cc
@@ -70,7 +70,7 @@
   core::TokenSteering weighed(core::TokenSteeringOptions{}, policy, random);
   const auto flowsOfFirst = [&](std::uint32_t weight, std::uint16_t firstPort) {
     policy.weight = weight;
-    weighed.backends().reweigh();
+    weighed.backends().recomputeWeights();
     int count = 0;
     for (std::uint16_t port = firstPort; port < firstPort + 60; ++port) {
       now += 100ms;
--- a/tests/core/filled_view_property_test.cc
+++ b/tests/core/view_backfill_property_test.cc
@@ -31,13 +31,13 @@
 };
 
 /// A store, a daemon with a whole view that gives pages, and one that began with a sample.
-struct FillWorld {
+struct BackfillModel {
   std::vector<core::StoreChange> history;
   std::set<std::string> present;
-  View giver;
-  View filling;
+  View source;
+  View backfilled;
   core::Revision base = 0;
-  std::deque<Page> underWay;
+  std::deque<Page> inFlight;
   core::Time now = 100s;
 
   static std::string keyOf(std::uint64_t id) {
@@ -62,44 +62,44 @@
     }
   }
 
-  /// The filling daemon lists some of what is there and takes every change from then on.
+  /// The backfilled daemon lists some of what is there and takes every change from then on.
   void begin() {
     base = history.size();
-    filling.revision = base;
+    backfilled.revision = base;
     for (const core::StoreChange& item : history) {
       const bool isLast = std::none_of(
           history.begin() + static_cast<std::ptrdiff_t>(item.revision.number), history.end(),
           [&item](const core::StoreChange& later) { return later.key == item.key; });
       if (isLast && present.contains(item.key) && item.key < keyOf(kBackends / 3)) {
-        filling.updater.onChange(item, now);
+        backfilled.updater.onChange(item, now);
       }
     }
   }
 
-  void givePage(const std::string& after) {
-    underWay.push_back({giver.revision, giver.backends.contentsAfter(after, kPage)});
+  void sendPage(const std::string& after) {
+    inFlight.push_back({source.revision, source.backends.contentsAfter(after, kPage)});
   }
 
-  void takePage() {
-    if (underWay.empty()) {
+  void receivePage() {
+    if (inFlight.empty()) {
       return;
     }
-    const Page page = underWay.front();
-    underWay.pop_front();
+    const Page page = inFlight.front();
+    inFlight.pop_front();
     if (page.revision >= base) {
       for (const core::StoreChange& backend : page.backends) {
-        filling.updater.onMissing(backend, now);
+        backfilled.updater.onMissingItem(backend, now);
       }
     }
   }
 
-  void fillCompletely() {
+  void backfillAll() {
     std::string after;
     for (;;) {
-      givePage(after);
-      const Page page = underWay.back();
-      while (!underWay.empty()) {
-        takePage();
+      sendPage(after);
+      const Page page = inFlight.back();
+      while (!inFlight.empty()) {
+        receivePage();
       }
       if (page.backends.size() < kPage) {
         return;
@@ -117,41 +117,42 @@
   }
 };
 
-BOOST_AUTO_TEST_SUITE(FilledViewPropertyTest)
+BOOST_AUTO_TEST_SUITE(ViewBackfillPropertyTest)
 
-BOOST_AUTO_TEST_CASE(it_ends_as_the_store_is) {
+BOOST_AUTO_TEST_CASE(backfilled_view_converges_to_store) {
   BOOST_TEST(rc::check("pages, changes and delays in any order", [] {
-    FillWorld world;
+    BackfillModel model;
     const auto id = [] { return *rc::gen::inRange<std::uint64_t>(0, kBackends); };
     for (std::uint64_t first = 0; first < kBackends; ++first) {
-      world.change(first);
+      model.change(first);
     }
-    world.begin();
-    world.follow(world.giver, world.base);
+    model.begin();
+    model.follow(model.source, model.base);
     const auto steps = *rc::gen::inRange(0, 60);
     for (int step = 0; step < steps; ++step) {
       switch (*rc::gen::inRange(0, 5)) {
         case 0:
-          world.change(id());
+          model.change(id());
           break;
         case 1:
-          world.follow(world.giver, *rc::gen::inRange<std::uint64_t>(world.giver.revision.number,
-                                                                     world.history.size() + 1));
+          model.follow(model.source, *rc::gen::inRange<std::uint64_t>(model.source.revision.number,
+                                                                      model.history.size() + 1));
           break;
         case 2:
-          world.follow(world.filling, *rc::gen::inRange<std::uint64_t>(
-                                          world.filling.revision.number, world.history.size() + 1));
+          model.follow(model.backfilled,
+                       *rc::gen::inRange<std::uint64_t>(model.backfilled.revision.number,
+                                                        model.history.size() + 1));
           break;
         case 3:
-          world.givePage(FillWorld::keyOf(id()));
+          model.sendPage(BackfillModel::keyOf(id()));
           break;
         default:
-          world.takePage();
+          model.receivePage();
       }
     }
-    world.fillCompletely();
-    world.follow(world.filling, world.history.size());
-    RC_ASSERT(world.known(world.filling) == world.present);
+    model.backfillAll();
+    model.follow(model.backfilled, model.history.size());
+    RC_ASSERT(model.known(model.backfilled) == model.present);
   }));
 }
 
--- a/tests/core/view_exchange_test.cc
+++ b/tests/core/view_exchange_test.cc
@@ -79,7 +79,7 @@
 
   void deliver(const core::OutgoingView& outgoing) {
     for (Node* node : {&first, &second, &third}) {
-      if (node->address != outgoing.destination || cut == node) {
+      if (node->address != outgoing.destination || partitioned == node) {
         continue;
       }
       if (const auto* request = std::get_if<core::ViewRequest>(&outgoing.message)) {
@@ -91,7 +91,7 @@
   }
 
   /// @return how many of that many daemons get a whole view of the first one at the same time.
-  std::size_t viewsGiven(std::size_t daemons) {
+  std::size_t countFullViews(std::size_t daemons) {
     std::size_t views = 0;
     for (std::size_t i = 0; i < daemons; ++i) {
       first.exchange.onRequest({endpoint(8, static_cast<std::uint8_t>(i), 7720), 0, true}, now);
@@ -103,25 +103,25 @@
     return views;
   }
 
-  Node* cut = nullptr;  ///< Gets no messages.
+  Node* partitioned = nullptr;  ///< Gets no messages.
 };
 
 BOOST_FIXTURE_TEST_SUITE(ViewExchangeTest, ExchangeFixture)
 
-BOOST_AUTO_TEST_CASE(a_whole_view_tells_which_zones_are_out) {
+BOOST_AUTO_TEST_CASE(full_view_includes_zone_evacuations) {
   store.put("op/evacuate/a", core::ZoneEvacuation{"a"});
   now += 2s;
   read(first);
   fail(third);
   now += core::kStoreFirstTry;
   tick();
-  BOOST_TEST(third.reader.isComplete());
+  BOOST_TEST(third.reader.isSynchronized());
   BOOST_TEST(third.steering.backends().evacuations().IsEvacuated("a"));
   BOOST_TEST(third.backends() == 0U);
 }
 
 // A daemon that started while the store was down, or refused it, served nobody until it answered.
-BOOST_AUTO_TEST_CASE(a_starting_daemon_gets_its_view_from_a_peer) {
+BOOST_AUTO_TEST_CASE(starting_daemon_gets_view_from_peer) {
   tick();
   BOOST_TEST(third.backends() == 0U);
   now += core::kStoreFirstTry;
@@ -129,50 +129,50 @@
   tick();
   BOOST_TEST(third.backends() == 2U);
   BOOST_TEST(third.steering.routes().version() == 7U);
-  BOOST_TEST(third.reader.isComplete());
+  BOOST_TEST(third.reader.isSynchronized());
   BOOST_TEST(!third.reader.isCurrent(now + core::kViewCurrentFor));
 }
 
 // 56 daemons that were added while the store reset every connection tried it 313 times and served
 // nobody for 0.6 s (cflc-quotes-large trouble-3).
-BOOST_AUTO_TEST_CASE(a_first_read_that_fails_lets_a_daemon_ask_peers_at_once) {
+BOOST_AUTO_TEST_CASE(rejected_first_read_requests_peer_view_at_once) {
   tick();
   fail(third);
   tick();
   BOOST_TEST(third.backends() == 2U);
-  BOOST_TEST(third.reader.isComplete());
+  BOOST_TEST(third.reader.isSynchronized());
 }
 
 // 300 daemons that list 3,000 back ends at once wait for the store's link: each asked for whole
 // views of its peers as well, 130 MB between zones.
-BOOST_AUTO_TEST_CASE(a_store_that_is_slow_lets_no_daemon_ask_peers_at_once) {
+BOOST_AUTO_TEST_CASE(slow_store_does_not_trigger_peer_request) {
   tick();
   third.reader.nextRead(now);
   third.reader.onReply(failedRead(ReadOutcome::kTimedOut), now);
   tick();
-  BOOST_TEST(!third.reader.isComplete());
+  BOOST_TEST(!third.reader.isSynchronized());
   // Nor one that was turned away, once an answer arrives.
   now += 50ms;
   fail(third);
   third.reader.onProgress(now + 1ms);
   now += 2ms;
   tick();
-  BOOST_TEST(!third.reader.isComplete());
+  BOOST_TEST(!third.reader.isSynchronized());
 }
 
-BOOST_AUTO_TEST_CASE(the_next_read_goes_on_from_the_peers_view) {
+BOOST_AUTO_TEST_CASE(next_read_continues_from_peer_view) {
   now += core::kStoreFirstTry;
   tick();
   now += core::kStoreFirstTry;
   tick();
-  BOOST_REQUIRE(third.reader.isComplete());
+  BOOST_REQUIRE(third.reader.isSynchronized());
   const std::optional<core::StoreRead> read = third.reader.nextRead(now);
   BOOST_REQUIRE(read.has_value());
   BOOST_TEST((read->kind == core::StoreRead::Kind::kWatch));
   BOOST_TEST(read->afterRevision == 3U);
 }
 
-BOOST_AUTO_TEST_CASE(a_daemon_that_the_store_refuses_follows_its_peers) {
+BOOST_AUTO_TEST_CASE(throttled_daemon_gets_view_from_peers) {
   tick();
   fail(second);
   now += core::kStoreSilence;
@@ -184,7 +184,7 @@
   BOOST_TEST(second.backends() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(a_peer_never_takes_a_daemon_back) {
+BOOST_AUTO_TEST_CASE(older_peer_view_is_ignored) {
   store.put("op/config", makeRoutes(9, {{2, "web"}}));
   store.put("servers/1", core::RemovedItem{});
   read(first);
@@ -198,7 +198,7 @@
   BOOST_TEST(first.backends() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(seeds_pass_on_who_made_itself_known) {
+BOOST_AUTO_TEST_CASE(seeds_share_known_peers) {
   tick();
   // The seed dies; the second daemon is known to the third only through it.
   now += core::kStoreFirstTry;
@@ -207,7 +207,7 @@
   BOOST_TEST(before == 0U);
   tick();
   BOOST_TEST(third.exchange.peerCount() == 2U);
-  cut = &first;
+  partitioned = &first;
   fail(third);
   now += core::kStoreSilence;
   store.put("servers/2", core::RemovedItem{});
@@ -216,7 +216,7 @@
   BOOST_TEST(third.backends() == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(nothing_is_sent_while_the_store_serves) {
+BOOST_AUTO_TEST_CASE(no_requests_while_store_answers) {
   tick();
   const std::uint64_t sent = second.exchange.counters().requestsSent;
   for (int i = 0; i < 20; ++i) {
@@ -230,20 +230,20 @@
 
 // At 300 machines the seeds sent each starting daemon 300 KB though the store was answering them,
 // and it took 30 s until all served.
-BOOST_AUTO_TEST_CASE(a_daemon_whose_listing_goes_on_asks_nobody) {
+BOOST_AUTO_TEST_CASE(progressing_listing_sends_no_requests) {
   store.pageSize = 1;
   for (int page = 0; page < 3; ++page) {
     now += core::kStoreFirstTry - 1ms;
     read(third);
     third.exchange.onTick(now);
   }
-  BOOST_TEST(!third.reader.isComplete());
+  BOOST_TEST(!third.reader.isSynchronized());
   BOOST_TEST(third.exchange.counters().requestsSent == 0U);
 }
 
 // Daemons that lacked one version got a view of 150 KB each: 180 views on a day (ptf-checkin-grown,
 // scale-2), 27 MB of the 50 MB between zones.
-BOOST_AUTO_TEST_CASE(a_daemon_that_changes_can_bring_up_to_date_gets_no_whole_view) {
+BOOST_AUTO_TEST_CASE(peer_reachable_by_changes_gets_no_full_view) {
   core::ChangeLog log;
   log.Close(3);
   core::ViewExchange exchange{first.address, first.steering, first.updater,
@@ -251,17 +251,17 @@
   store.put("op/config", makeRoutes(9, {{2, "web"}}));
   read(first);
   log.Close(first.reader.revision());
-  const auto revisionGiven = [&](core::Revision have) {
+  const auto sentRevision = [&](core::Revision have) {
     exchange.onRequest({second.address, have, true}, now);
     return std::get<core::ViewTransfer>(exchange.takeMessages().at(0).message).revision;
   };
-  BOOST_TEST(revisionGiven(3) == 0U);
-  BOOST_TEST(revisionGiven(2) == 4U);
-  BOOST_TEST(revisionGiven(0) == 4U);
+  BOOST_TEST(sentRevision(3) == 0U);
+  BOOST_TEST(sentRevision(2) == 4U);
+  BOOST_TEST(sentRevision(0) == 4U);
 }
 
 // A listing that takes long because a machine's link is slow is no silence of the store.
-BOOST_AUTO_TEST_CASE(a_daemon_whose_answer_is_arriving_asks_nobody) {
+BOOST_AUTO_TEST_CASE(partial_answer_progress_sends_no_requests) {
   for (int part = 0; part < 5; ++part) {
     now += core::kStoreFirstTry - 1ms;
     third.reader.onProgress(now);
@@ -272,23 +272,23 @@
 
 // After most daemons were killed while the store was down, four views a second from each of the few
 // others kept the rest waiting for a second (own day all_restart, cflc-quotes-grown).
-BOOST_AUTO_TEST_CASE(small_views_are_given_to_many_at_once) {
-  BOOST_TEST(viewsGiven(100) == core::kViewUnitsPerSecond);
+BOOST_AUTO_TEST_CASE(small_views_are_sent_to_many_at_once) {
+  BOOST_TEST(countFullViews(100) == core::kViewUnitsPerSecond);
 }
 
-BOOST_AUTO_TEST_CASE(large_views_are_given_only_so_often) {
+BOOST_AUTO_TEST_CASE(large_views_are_rate_limited) {
   for (std::uint64_t id = 10; id < 3010; ++id) {
     store.put("servers/" + std::to_string(id),
               makeRegistration(id, "web", static_cast<std::uint8_t>(id / 250),
                                static_cast<std::uint8_t>(id % 250)));
   }
   read(first);
-  const std::size_t views = viewsGiven(100);
+  const std::size_t views = countFullViews(100);
   BOOST_TEST(views >= 1U);
   BOOST_TEST(views <= 4U);
 }
 
-BOOST_AUTO_TEST_CASE(a_route_without_targets_is_left_out) {
+BOOST_AUTO_TEST_CASE(route_without_targets_is_skipped) {
   core::ViewTransfer view;
   view.revision = 10;
   view.version = 12;
--- a/tests/core/zones/evacuated_openings_test.cc
+++ b/tests/core/zones/evacuated_openings_test.cc
@@ -178,12 +178,12 @@
   core::ViewUpdate update;
   update.evacuations.push_back({ "evacuate/b", 100, "b" });
   update.removals.push_back({ "evacuate/b", 101 });
-  for (const core::StoreChange& change : core::changesOf(update)) {
+  for (const core::StoreChange& change : core::toStoreChanges(update)) {
     this->Updater.onChange(change, this->now);
   }
   BOOST_TEST(!this->steering.backends().evacuations().IsEvacuated("b"));
   update.evacuations.push_back({ "evacuate/b", 102, "b" });
-  for (const core::StoreChange& change : core::changesOf(update)) {
+  for (const core::StoreChange& change : core::toStoreChanges(update)) {
     this->Updater.onChange(change, this->now);
   }
   BOOST_TEST(this->steering.backends().evacuations().IsEvacuated("b"));
--- a/tests/fuzz/fuzz_peer.cc
+++ b/tests/fuzz/fuzz_peer.cc
@@ -40,7 +40,7 @@
     relay.SetSeeds({self});
     reader.nextRead(now);
     core::StoreReply listing;
-    listing.at = 5;
+    listing.revision = 5;
     reader.onReply(listing, now);
     reader.confirm(now);
     relay.OnStoreAnswer(now);
--- a/tests/fuzz/fuzz_store_items.cc
+++ b/tests/fuzz/fuzz_store_items.cc
@@ -49,7 +49,7 @@
   for (const core::StoreChange& change : reply.changes) {
     view.updater.onChange(change, 100s);
   }
-  view.updater.onListed({}, reply.at, 100s);
+  view.updater.onListed({}, reply.revision, 100s);
   giveToReader(body);
   return 0;
 }
--- a/tests/platform/store_items_test.cc
+++ b/tests/platform/store_items_test.cc
@@ -73,11 +73,11 @@
   read.stale = true;
   read.range = {Kind::kOperators};
   BOOST_TEST(items.target(read) == "/kv-range?path-prefix=op/&stale=1");
-  read.range = {Kind::kBackendsPart, core::kFineParts, 0x0a};
+  read.range = {Kind::kBackendPartition, core::kFinePartitions, 0x0a};
   BOOST_TEST(items.target(read) == "/kv-range?path-prefix=servers/i-0a&stale=1");
-  read.range = {Kind::kBackendsPart, core::kFineParts, 0xf3};
+  read.range = {Kind::kBackendPartition, core::kFinePartitions, 0xf3};
   BOOST_TEST(items.target(read) == "/kv-range?path-prefix=servers/i-f3&stale=1");
-  read.range = {Kind::kBackendsPart, core::kCoarseParts, 0x0f};
+  read.range = {Kind::kBackendPartition, core::kCoarsePartitions, 0x0f};
   BOOST_TEST(items.target(read) == "/kv-range?path-prefix=servers/i-f&stale=1");
   read.range = {Kind::kBackends};
   read.afterKey = "servers/i-7f";
@@ -87,7 +87,7 @@
 BOOST_AUTO_TEST_CASE(a_server_becomes_a_registration) {
   const core::StoreReply reply = parseItems(item("servers/i-1fa13cd8c2", kServer));
   BOOST_REQUIRE(reply.changes.size() == 1U);
-  BOOST_TEST(reply.at == 530U);
+  BOOST_TEST(reply.revision == 530U);
   BOOST_TEST(reply.hasMore);
   BOOST_TEST(reply.lastKey == "servers/i-1fa13cd8c2");
   const auto& registration = std::get<core::Registration>(reply.changes[0].item);
@@ -213,12 +213,12 @@
   const auto eraOf = [&items](int status, const std::string& era) {
     return items
         .parse({net::HttpFailure::kNone, status, {{"store-era", era}}, R"({"items":[],"at":5})"})
-        .at.era;
+        .revision.era;
   };
   BOOST_TEST((eraOf(200, "3") == core::StoreEra{3}));
   BOOST_TEST((eraOf(410, "3") == core::StoreEra{3}));
   BOOST_TEST((eraOf(503, "3") == core::StoreEra{3}));
-  BOOST_TEST((parse(200, R"({"items":[],"at":5})").at.era == core::StoreEra{0}));
+  BOOST_TEST((parse(200, R"({"items":[],"at":5})").revision.era == core::StoreEra{0}));
 }
 
 BOOST_AUTO_TEST_CASE(an_era_that_is_no_number_makes_the_answer_unusable) {
@@ -244,7 +244,7 @@
                            item("servers/i-7f", kServer) + R"(],"has-more":true,"at":530})";
   const core::StoreReply json = parse(200, text);
   const core::StoreReply msgpack = parse(200, asMsgpack(text));
-  BOOST_TEST(msgpack.at == 530U);
+  BOOST_TEST(msgpack.revision == 530U);
   BOOST_TEST(msgpack.hasMore);
   BOOST_REQUIRE(msgpack.changes.size() == 2U);
   BOOST_TEST((std::get<core::RouteSet>(msgpack.changes[0].item).routes ==
--- a/tests/support/store_fixtures.h
+++ b/tests/support/store_fixtures.h
@@ -42,7 +42,7 @@
 class FakeStore {
  public:
   /// What a store held at some time.
-  struct Copy {
+  struct Snapshot {
     std::uint64_t revision = 0;
     std::uint64_t historyFrom = 0;
     std::map<std::string, core::StoreChange> items;
@@ -87,15 +87,15 @@
     return item == items_.end() ? nullptr : &item->second;
   }
 
-  Copy copy() const { return {revision_, historyFrom_, items_, history_}; }
+  Snapshot snapshot() const { return {revision_, historyFrom_, items_, history_}; }
 
   /// Goes on from a copy: what was written since is gone, and its revisions are given out again.
-  void comeBackFrom(const Copy& copy) {
+  void restore(const Snapshot& snapshot) {
     era_ = core::StoreEra{static_cast<std::uint64_t>(era_) + 1};
-    revision_ = copy.revision;
-    historyFrom_ = copy.historyFrom;
-    items_ = copy.items;
-    history_ = copy.history;
+    revision_ = snapshot.revision;
+    historyFrom_ = snapshot.historyFrom;
+    items_ = snapshot.items;
+    history_ = snapshot.history;
   }
 
   core::StoreReply answer(const core::StoreRead& read) const {
@@ -107,7 +107,7 @@
  private:
   /// What was written before the copy was made is shown by its number alone, as all else.
   void stamp(core::StoreReply& reply) const {
-    reply.at.era = era_;
+    reply.revision.era = era_;
     for (core::StoreChange& change : reply.changes) {
       change.revision.era = era_;
     }
@@ -117,7 +117,7 @@
     const bool old = read.stale && staleAt != 0;
     const std::map<std::string, core::StoreChange>& items = old ? staleItems : items_;
     core::StoreReply reply;
-    reply.at = old ? staleAt : revision();
+    reply.revision = old ? staleAt : revision();
     for (auto item = items.upper_bound(read.afterKey); item != items.end(); ++item) {
       if (!isInRange(item->first, read.range)) {
         continue;
@@ -141,20 +141,21 @@
         return !isBackend;
       case core::ListingRange::Kind::kBackends:
         return isBackend;
-      case core::ListingRange::Kind::kBackendsPart:
-        return isBackend && partOf(key) / (core::kFineParts / range.parts) == range.part;
+      case core::ListingRange::Kind::kBackendPartition:
+        return isBackend &&
+               finePartitionOf(key) / (core::kFinePartitions / range.partitions) == range.partition;
     }
     return false;
   }
 
   /// @return the fine part of a key, even over keys as drawn ids are.
-  static std::uint32_t partOf(const std::string& key) {
-    return static_cast<std::uint32_t>(core::hashName(key) % core::kFineParts);
+  static std::uint32_t finePartitionOf(const std::string& key) {
+    return static_cast<std::uint32_t>(core::hashName(key) % core::kFinePartitions);
   }
 
   core::StoreReply watch(const core::StoreRead& read) const {
     core::StoreReply reply;
-    reply.at = revision_;
+    reply.revision = revision_;
     const std::uint64_t after = read.afterRevision.number;
     if (after < historyFrom_ || after > revision_) {
       reply.outcome = core::ReadOutcome::kHistoryGone;
@@ -165,7 +166,7 @@
         reply.changes.push_back(change);
       }
       if (reply.changes.size() == watchSize) {
-        reply.at = change.revision;
+        reply.revision = change.revision;
         break;
       }
     }
