--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -68,7 +68,7 @@
   /// @return the route of an address, or null.
   RouteEntry* find(const Endpoint& endpoint);
   /// @return true where a version dropped this route and none has brought it back.
-  bool wasDropped(const Endpoint& endpoint) const { return dropped_.contains(endpoint); }
+  bool wasRemoved(const Endpoint& endpoint) const { return dropped_.contains(endpoint); }
 
   /// Forgets dropped routes that no flow can belong to any more.
   void forgetDropped(Time now, Duration retention);
--- a/src/core/store_reader.h
+++ b/src/core/store_reader.h
@@ -108,12 +108,12 @@
 
   /// Says whether other daemons read as well and will tell this one: a read is followed by a pause
   /// then, and reads that have failed several times are repeated rarely.
-  void setHasOtherReaders(bool covered) { hasOtherReaders_ = covered; }
+  void setHasOtherReaders(bool hasOtherReaders) { hasOtherReaders_ = hasOtherReaders; }
 
   /// Says that those others read in vain, or with nothing that they do not. A read of this daemon's
-  /// that fails as well is repeated after at most `tryAfter`, half of it random.
-  void setOtherReadersFailing(std::optional<Duration> tryAfter) {
-    otherReadersRetryDelay_ = tryAfter;
+  /// that fails as well is repeated after at most `retryDelay`, half of it random.
+  void setOtherReadersFailing(std::optional<Duration> retryDelay) {
+    otherReadersRetryDelay_ = retryDelay;
   }
   bool areOtherReadersFailing() const { return otherReadersRetryDelay_.has_value(); }
 
@@ -131,7 +131,7 @@
   void enableSampling(std::uint32_t sampleSeed);
   /// Lets nextRead() give pages of the back ends that a view in use lacks, one after the other and
   /// between watches.
-  void setBackfilling(bool filling) { backfilling_ = filling; }
+  void setBackfilling(bool backfilling) { backfilling_ = backfilling; }
   /// Notes that peers have given every back end that was missing.
   void markAllBackendsKnown();
 
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -45,7 +45,7 @@
 }
 
 Verdict TokenSteering::steerOpen(const PacketSummary& packet, Time now) {
-  if (viewCurrent_ && routes_.wasDropped(packet.flow.destination)) {
+  if (viewCurrent_ && routes_.wasRemoved(packet.flow.destination)) {
     return refuse(RefuseReason::kRouteDropped, RefusalCertainty::kOutcomeUnknown);
   }
   const BackendAddress* backend = backends_.findByToken(packet.token);
--- a/src/core/view_exchange.cc
+++ b/src/core/view_exchange.cc
@@ -93,7 +93,7 @@
   }
 }
 
-bool ViewExchange::needsWholeView(Revision have) const {
+bool ViewExchange::needsFullView(Revision have) const {
   const bool hasNewerView = reader_.hasAllBackends() && reader_.revision() > have;
   const bool areChangesSufficient =
       have != 0 && changes_ != nullptr && changes_->Reaches(have) && reader_.history().Covers(have);
@@ -107,7 +107,7 @@
       view.peers.push_back(peer);
     }
   }
-  if (!needsWholeView(request.have) || !viewBudget_.admit(RankedTokenBucket::kHighestRank, now)) {
+  if (!needsFullView(request.have) || !viewBudget_.admit(RankedTokenBucket::kHighestRank, now)) {
     return view;
   }
   view.revision = reader_.revision();
--- a/src/core/view_exchange.h
+++ b/src/core/view_exchange.h
@@ -66,7 +66,7 @@
   void requestViews(Time now);
   void addPeer(const Endpoint& peer);
   /// @return true where a peer that is complete up to `have` needs a whole view.
-  bool needsWholeView(Revision have) const;
+  bool needsFullView(Revision have) const;
   ViewTransfer makeTransfer(const ViewRequest& request, Time now);
 
   Endpoint self_;
