--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -45,7 +45,7 @@
                                     Revision revision) {
   const Registration& known = entry.registration;
   const bool isOfLaterEra = entry.revision.era < revision.era;
-  // Where starts are not told, or its item was gone, the numbers may have begun anew.
+  // Numbers may have restarted if start times are not reported or the item was removed.
   const bool isSameRun = known.startedAtMs != 0 && entry.present;
   if (registration.startedAtMs != known.startedAtMs || (!isOfLaterEra && !isSameRun)) {
     return false;
@@ -53,7 +53,7 @@
   if (registration.statement != 0 && known.statement != 0) {
     return registration.statement < known.statement;
   }
-  // Without numbers, a run that ends is not taken to go on because a copy does not know of its end.
+  // Without numbers, a draining backend is not reactivated by a restored store.
   const bool revertsShutdown =
       known.state == BackendState::kLeaving && registration.state == BackendState::kActive;
   return revertsShutdown && isOfLaterEra;
@@ -78,7 +78,7 @@
   ++generation_;
   const std::uint64_t startedBefore = isNew ? 0 : known->second.registration.startedAtMs;
   if (registration.startedAtMs < startedBefore) {
-    // A late write of the run before, which has superseded.
+    // A delayed write of the previous incarnation.
     known->second.revision = revision;
     return RegistryEvent::kNone;
   }
@@ -92,7 +92,7 @@
   Entry& entry = entries_[key];
   const bool sameContent =
       !isNew && entry.present && entry.registration.hasSameContentAs(registration);
-  // One that a copy lacked may come back after a ghost of the back end that had its address before.
+  // A backend that the restored store lacked may be written after a stale one at its address.
   const bool isRewritten = !entry.present && entry.firstRevision.era < revision.era;
   entry.registration = registration;
   entry.address = {registration.id, serviceIdOf(registration.service), registration.endpoint, 0,
@@ -145,7 +145,7 @@
 }
 
 void BackendRegistry::markSuperseded(const Endpoint& endpoint) {
-  // A listing gives the back ends of an address in any order.
+  // A listing returns the backends of an address in any order.
   const std::set<std::string>& keys = endpoints_[endpoint];
   Revision last = 0;
   for (const std::string& key : keys) {
@@ -199,7 +199,7 @@
     }
   }
   for (const std::string& key : vanished) {
-    // The removal's own revision is unknown; the listing's is the latest that it can have.
+    // The removal's revision is unknown; that of the listing is its upper bound.
     Entry& entry = entries_.at(key);
     entry.revision = listedAt;
     entry.isRemovalRevisionExact = false;
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -1,9 +1,9 @@
 /// @file
-/// The back ends that registered themselves, by the key of their item in the store. A back end that
-/// left or vanished takes no new flow at once and stays reachable by its token until no flow of it
-/// can be left. Items are ordered by revision: an older one never replaces a newer one. What a back
-/// end says of itself is ordered by itself as well, so that an announced end outlives a store that
-/// comes back from a copy without it.
+/// Registered backends by the key of their store item. A backend that is draining or was removed
+/// gets no new flows and stays reachable by its token until it can have no flows left. Items are
+/// ordered by revision: an older one never replaces a newer one. Registration updates of a backend
+/// are also ordered by its own numbers, so that an announced shutdown survives a restore of the
+/// store from a copy without it.
 #pragma once
 
 #include <deque>
@@ -24,137 +24,141 @@
 
 namespace cobaltgauge::core {
 
-/// What happened to a back end, for logs.
+/// The effect of an item on a backend; for logs.
 enum class RegistryEvent : std::uint8_t {
   kAdded,
-  kLeaving,    ///< Announced its end.
-  kReturned,   ///< Active again after it was leaving or had vanished.
+  kLeaving,    ///< Announced its shutdown.
+  kReturned,   ///< Active again after draining or removal.
   kVanished,   ///< Its item was removed.
-  kRestarted,  ///< Started again under its id, and knows nothing from before.
+  kRestarted,  ///< Restarted under the same id, without its previous state.
   kChanged,    ///< Another field changed.
-  kRefreshed,  ///< Taken, though it says what was known.
-  kNone,       ///< Older than what is known, or without effect.
+  kRefreshed,  ///< Applied without a change of content.
+  kNone,       ///< Older than the known state, or without effect.
 };
 
 inline constexpr std::size_t kRegistryEvents = static_cast<std::size_t>(RegistryEvent::kNone) + 1;
 
 const char* toString(RegistryEvent event);
 
-/// What a registry holds that is newer than a revision.
+/// The changes of a registry after a revision.
 struct RegistryDifference {
   std::vector<StoreChange> exactChanges;
-  /// Removals that a listing showed: they happened at some time before their revisions.
+  /// Removals found by a listing; their revisions are upper bounds.
   std::vector<StoreChange> boundedRemovals;
 };
 
 class BackendRegistry {
  public:
-  /// @param keepDeparted how long a back end that is gone stays reachable by token.
-  /// @param weights outlives the registry.
-  /// @param reach writes addresses into tokens and is told their ports; outlives the registry.
-  /// Null: tokens are hashes.
+  /// @param keepDeparted how long a removed backend stays reachable by token.
+  /// @param weights must outlive the registry.
+  /// @param reach encodes addresses in tokens and is informed of their ports; must outlive the
+  /// registry. Null: tokens are hashes.
   BackendRegistry(Duration keepDeparted, PlacementWeights& weights, TokenReach* reach = nullptr)
       : keepDeparted_(keepDeparted), weights_(weights), tokens_(reach) {}
 
-  /// Says which region each zone is in.
+  /// Sets the region of each zone.
   void setRegions(const std::map<std::string, std::string>& regionsOfZones);
 
-  /// Weighs every back end again, after the policy changed.
+  /// Recomputes the weight of every backend after a policy change.
   void recomputeWeights();
 
-  /// Takes one item. @return what it changed.
+  /// Applies one item. @return its effect.
   RegistryEvent put(const std::string& key, const Registration& registration, Revision revision,
                     Time now);
-  /// @return true where a listing of a later era shows an item as it was known before: it keeps its
-  /// place then, from which others have it. Of a change that would not be so: the number may have
-  /// been given out again, to one who says the same after a copy that lacked it.
+  /// @return true if a listing of a later era shows an item unchanged. The item keeps its earlier
+  /// revision then, under which other daemons know it. This holds for listings only: in a watch,
+  /// the same revision number may have been assigned again to a different write.
   bool isUnchangedSinceEarlierEra(const std::string& key, const Registration& registration,
                                   Revision revision) const;
-  /// Notes that an item was removed. @return what it changed.
+  /// Records that an item was removed. @return the effect.
   RegistryEvent remove(const std::string& key, Revision revision, Time now);
 
-  /// Takes a whole listing: items that are older than it and not part of it have been removed.
-  /// @return keys of the back ends that vanished.
+  /// Applies the end of a listing: removes items that are older and not in `keys`.
+  /// @return keys of the removed backends.
   std::vector<std::string> retainOnly(const std::set<std::string>& keys, Revision listedAt,
                                       Time now);
 
-  /// Takes an evacuation of a zone. @return true where it is newer than what was known of its key.
+  /// Applies an evacuation of a zone. @return true if it is newer than the known state of its key.
   bool putEvacuation(const std::string& key, const std::string& zone, Revision revision);
-  /// Notes that an evacuation's item was removed. @return true where that is newer likewise.
+  /// Records that an evacuation item was removed. @return true if the removal is newer than the
+  /// known state of its key.
   bool removeEvacuation(const std::string& key, Revision revision);
-  /// Takes a whole listing, as retainOnly() does. @return keys of the evacuations that superseded.
+  /// Applies the end of a listing like retainOnly(). @return keys of the evacuations that ended.
   std::vector<std::string> retainEvacuations(const std::set<std::string>& keys, Revision listedAt);
   const ZoneEvacuations& evacuations() const { return evacuations_; }
-  /// @return keys of evacuations that were lost with a copy of the store and are over since the
-  /// last call.
+  /// @return keys of evacuations that were lost with a restore of the store and have expired since
+  /// the last call.
   std::vector<std::string> takeExpiredEvacuations() { return std::exchange(expired_, {}); }
-  /// @return true where the service has a back end that only an evacuation keeps from new flows.
+  /// @return true if the service has a backend that would get new flows if its zone were not
+  /// evacuated.
   bool isEvacuated(ServiceId service) const;
 
-  /// @return the back end with this token, in either form, or null. A token that holds an address
-  /// gives the last back end there.
+  /// @return the backend with this token, in either form, or null. A token that encodes an address
+  /// gives the latest backend at that address.
   const BackendAddress* findByToken(SteeringToken token) const;
-  /// @return the token to be written into packets of a back end.
+  /// @return the token to write into packets of a backend.
   SteeringToken tokenFor(const BackendAddress& backend) const {
     return tokens_.GetToken(backend.id, backend.endpoint);
   }
-  /// @return true where an item of this key was ever taken and is not forgotten.
+  /// @return true if an item of this key is known, whether removed or not.
   bool knows(const std::string& key) const { return entries_.contains(key); }
-  /// @return the back end, gone or not, or null.
+  /// @return the backend, whether removed or not, or null.
   const BackendAddress* find(BackendId id) const;
-  /// @return what is known of a key whose item is in the store, or null.
+  /// @return the registration of a key that has an item in the store, or null.
   const Registration* findPresent(const std::string& key) const;
-  /// @return back ends that have started again under their ids since the last call.
+  /// @return backends that have restarted under the same id since the last call.
   std::vector<BackendId> takeRestarted() { return std::exchange(restarted_, {}); }
-  /// @return what the back end last said of itself, or null.
+  /// @return the latest registration of the backend, or null.
   const Registration* registrationOf(BackendId id) const;
-  /// @return true where another back end was registered at the same address after this one's last
-  /// word: it has superseded. Of two that each wrote after the other came, as where the store takes
-  /// a write seconds late, neither is said to have.
+  /// @return true if another backend registered at the same address after the last update of this
+  /// one. If each of two backends was updated after the other one's first registration, for example
+  /// by a delayed write, neither is superseded.
   bool isSuperseded(BackendId id) const;
-  /// @return true where the back end may be given new flows.
+  /// @return true if the backend may get new flows.
   bool takesNewFlows(BackendId id) const;
 
-  /// @return back ends of a service that may be given new flows.
+  /// @return backends of a service that may get new flows.
   const std::vector<PlacementCandidate>& candidates(ServiceId service) {
     return candidateList(service).GetAll();
   }
-  /// @return the back end where it may be given new flows, else null.
+  /// @return the backend if it may get new flows, else null.
   const PlacementCandidate* findCandidate(BackendId id);
 
-  /// @return slots of back ends that may be given new flows and are not cold, by service and zone;
-  /// zero where others are there.
+  /// @return request slots of backends that may get new flows and are not warming up, by service
+  /// and zone; zero if all of them are warming up.
   std::map<std::pair<ServiceId, ZoneId>, std::uint32_t> countSlots(Time now);
-  /// @return the name of a service or zone that was ever registered; else an empty one.
+  /// @return the name of a service or zone that is known, else an empty string.
   std::string nameOf(ServiceId service) const;
   std::string nameOf(ZoneId zone) const;
 
-  /// @return back ends of a service that vanished after `since` without having announced it.
+  /// @return backends of a service that were removed after `since` without announcing their
+  /// shutdown.
   std::vector<PlacementCandidate> vanishedSince(ServiceId service, Time since) const;
 
-  /// @return the same where they are more than one in kBackendsPerLapse of the service, else none:
-  /// so many do not end together without a word; it is their registrations that lapsed.
+  /// @return the same if they are more than one in kBackendsPerLapse of the service, else none: so
+  /// many at once indicate expired registrations rather than failed backends.
   std::vector<PlacementCandidate> lapsedSince(ServiceId service, Time since);
-  /// @return true where the back end vanished after `since` without having announced it.
+  /// @return true if the backend was removed after `since` without announcing its shutdown.
   bool hasVanishedSince(BackendId id, Time since) const;
 
-  /// Forgets back ends that have been gone, and evacuations that have been lost, for long enough.
+  /// Discards removed backends and lost evacuations after their retention time.
   void forgetDeparted(Time now);
 
-  /// @return every registration whose item is in the store, as an item.
+  /// @return every registration whose item is in the store.
   std::vector<StoreChange> contents() const;
-  /// @return the first of these, `limit` at limit, whose keys come after `key`.
+  /// @return the first `limit` of these with keys after `key`.
   std::vector<StoreChange> contentsAfter(const std::string& key, std::size_t limit) const;
-  /// @return registrations and removals that are newer than `have`, in any order.
+  /// @return registrations and removals newer than `have`, in any order.
   RegistryDifference changesSince(Revision have) const;
-  /// @return a number that rises with every change of what changesSince() and evacuations() tell.
+  /// @return a number that increases with every change of the results of changesSince() and
+  /// evacuations().
   std::uint64_t generation() const { return generation_; }
-  /// @return the newest revision of a removal that is forgotten; who is older may lack it.
+  /// @return the newest revision of a discarded removal; views that are older may lack it.
   Revision forgottenRevision() const { return forgottenRevision_; }
   std::size_t size() const { return entries_.size(); }
-  /// @return how many may be given new flows; looks at every one.
+  /// @return the number of backends that may get new flows. Iterates over all backends.
   std::size_t activeCount() const;
-  /// @return the same, for every batch of packets.
+  /// @return the same from cached lists; cheap enough for every batch of packets.
   std::size_t candidateCount();
 
  private:
@@ -162,42 +166,42 @@
     Registration registration;
     BackendAddress address;
     Revision revision = 0;
-    Revision firstRevision = 0;          ///< Of its first item that is known.
+    Revision firstRevision = 0;          ///< Of its first known item.
     bool present = true;                 ///< Its item is in the store.
-    bool superseded = false;             ///< Its address belongs to a later back end.
-    bool isRemovalRevisionExact = true;  ///< Else it happened at some time before `revision`.
+    bool superseded = false;             ///< A later backend registered at its address.
+    bool isRemovalRevisionExact = true;  ///< If false, `revision` is an upper bound.
     Time removedAt{};
     Time warmUntil{};
     std::uint32_t weight = kDefaultPlacementWeight;
   };
 
-  /// A removal of a key that was not known: an older item may come still.
+  /// A removal of an unknown key; an older item of it may still arrive.
   struct UnknownRemoval {
     Revision revision = 0;
     Time at{};
   };
 
-  /// @return true where the back end has said more since: the store took a write late, or came back
-  /// from a copy that is older than what it had said.
+  /// @return true if a later update of the backend is known: the store applied a write late, or was
+  /// restored from a copy that is older than the known update.
   static bool isOlderUpdate(const Entry& entry, const Registration& registration,
                             Revision revision);
   PlacementCandidate candidateOf(const Entry& entry) const;
   bool hasVanished(const Entry& entry, Time since) const;
-  /// @return true where the back end would take new flows but for an evacuation of its zone.
+  /// @return true if the backend would get new flows if its zone were not evacuated.
   bool isServing(const Entry& entry) const;
   bool isCandidate(const Entry& entry) const;
-  /// Drops every list of candidates where evacuations have changed.
+  /// Clears all cached candidate lists if evacuations have changed.
   void clearCandidatesIf(bool changed);
   void markSuperseded(const Endpoint& endpoint);
-  /// @return the back end that is at an address, or was there last, or null.
+  /// @return the current or latest backend at an address, or null.
   const BackendAddress* findLastAt(const Endpoint& endpoint) const;
-  /// Notes that an item is no longer in the store.
+  /// Records that an item is no longer in the store.
   void markDeparted(const std::string& key, Entry& entry, Time now);
-  /// Takes an entry out of where its service and its address lead to it.
+  /// Removes an entry from the indexes by service and address.
   void unlink(const std::string& key, const Entry& entry);
-  /// @return the candidates of a service; collected where they have not been.
+  /// @return the candidates of a service; built on first use.
   const CandidateList& candidateList(ServiceId service);
-  /// Brings a list that was collected in step with an entry that has changed.
+  /// Updates a cached candidate list after a change of an entry.
   void refreshCandidate(const Entry& entry);
   void forget(const std::string& key, const Entry& entry);
 
@@ -211,14 +215,14 @@
   std::unordered_map<BackendId, std::string> keys_;
   std::unordered_map<ServiceId, std::set<std::string>> services_;  ///< Keys of each service.
   std::map<Endpoint, std::set<std::string>> endpoints_;            ///< Keys at each address.
-  /// When which keys departed, by service, oldest first; of those that are not forgotten.
+  /// Removal times and keys by service, oldest first, until discarded.
   std::unordered_map<ServiceId, std::deque<std::pair<Time, std::string>>> departures_;
   std::vector<BackendId> restarted_;
   ZoneEvacuations evacuations_;
   std::vector<std::string> expired_;         ///< See takeExpiredEvacuations().
   std::map<std::string, RegionId> regions_;  ///< By zone.
   std::unordered_map<ZoneId, std::string> zoneNames_;
-  /// Collected when asked for first, and kept in step from then on.
+  /// Built on first use and updated from then on.
   std::unordered_map<ServiceId, CandidateList> candidates_;
 };
 
--- a/src/core/listing_plan.cc
+++ b/src/core/listing_plan.cc
@@ -5,7 +5,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Back ends that a sample holds at least: as many as one opening compares.
+/// Minimum number of backends in a sample: as many as one placement compares.
 constexpr std::size_t kMinSampleSize = kPlacementLooks;
 constexpr std::uint32_t kFinePartitionsPerCoarse = kFinePartitions / kCoarsePartitions;
 
@@ -42,7 +42,7 @@
   itemsInRange_ += items;
   if (hasMore && !lastKey.empty()) {
     afterKey_ = lastKey;
-    // One page of a part is a sample as well.
+    // One page of a partition is enough for a sample.
     return range_.kind == ListingRange::Kind::kBackendPartition && itemsInRange_ >= kMinSampleSize;
   }
   if (range_.kind == ListingRange::Kind::kOperators) {
@@ -56,7 +56,7 @@
   if (itemsInRange_ >= kMinSampleSize) {
     return true;
   }
-  // A coarse part is not tried where it would hold too few as well.
+  // Skips the coarse partition if it would hold too few backends as well.
   const bool isCoarseSufficient = range_.partitions == kFinePartitions &&
                                   itemsInRange_ * kFinePartitionsPerCoarse >= kMinSampleSize;
   if (isCoarseSufficient) {
--- a/src/core/listing_plan.h
+++ b/src/core/listing_plan.h
@@ -1,12 +1,11 @@
 /// @file
-/// Which items a listing of the store reads, and in which order.
+/// Selects the items that a listing of the store reads, and their order.
 ///
-/// A whole listing costs daemons times back ends: 985 daemons that start together and read 10,000
-/// back ends of 200 bytes each keep a link of 1,000 Mbit/s busy for 16 s. A sampled listing reads
-/// what operators wrote and the back ends of one part of all keys, drawn by each daemon for itself.
-/// That is enough for new flows, costs each daemon the same whatever the number of back ends, and
-/// covers all back ends evenly over the fleet. Where the parts turn out to hold too few, the plan
-/// widens, in the end to all.
+/// The cost of full listings grows with daemons times backends. A sampled listing reads routes,
+/// evacuations and the backends of one random partition of the key space, which suffices for new
+/// flows, costs each daemon the same for any number of backends and covers all backends evenly over
+/// the fleet. If the partition holds too few backends, the plan widens to a larger partition or to
+/// all.
 #pragma once
 
 #include <cstddef>
@@ -16,8 +15,8 @@
 
 namespace cobaltgauge::core {
 
-/// Parts of the keys of back ends, alike in size: the finest that a sampled listing begins with,
-/// and the coarse ones that it goes on with.
+/// Number of equal partitions of the backend key space: the fine ones that a sampled listing starts
+/// with, and the coarse ones used if these hold too few backends.
 inline constexpr std::uint32_t kFinePartitions = 256;
 inline constexpr std::uint32_t kCoarsePartitions = 16;
 
@@ -26,12 +25,12 @@
   enum class Kind : std::uint8_t {
     kEverything,
     kOperators,         ///< Routes and evacuations.
-    kBackends,          ///< All back ends.
-    kBackendPartition,  ///< Back ends whose keys lie in one part of `parts`.
+    kBackends,          ///< All backends.
+    kBackendPartition,  ///< Backends with keys in one of `partitions`.
   };
   Kind kind = Kind::kEverything;
   std::uint32_t partitions = 1;  ///< kFinePartitions or kCoarsePartitions.
-  std::uint32_t partition = 0;   ///< Below `parts`, in the order of keys.
+  std::uint32_t partition = 0;   ///< Less than `partitions`; in the order of keys.
 
   bool operator==(const ListingRange&) const = default;
 };
@@ -40,21 +39,21 @@
 
 class ListingPlan {
  public:
-  /// Begins a listing. @param sampleSeed of this daemon, whose remainder by kFinePartitions names
-  /// its part; none: everything is listed.
+  /// Starts a listing. @param sampleSeed selects the fine partition, modulo kFinePartitions; if
+  /// empty, everything is listed.
   void begin(std::optional<std::uint32_t> sampleSeed);
 
-  /// @return what the next read covers.
+  /// @return the range of the next read.
   const ListingRange& range() const { return range_; }
-  /// @return the key after which the next page of the range begins; empty for its first.
+  /// @return the key after which the next page of the range starts; empty for the first page.
   const std::string& afterKey() const { return afterKey_; }
 
-  /// Takes a page of the range. @return true where the listing is done.
+  /// Processes a page of the range. @return true if the listing is complete.
   bool onPage(std::size_t items, bool hasMore, const std::string& lastKey);
 
-  /// @return true where a page was taken since begin().
+  /// @return true if a page was processed since begin().
   bool hasStarted() const { return started_; }
-  /// @return true where a listing that is done has covered everything.
+  /// @return true if a complete listing has covered all backends.
   bool coversAllBackends() const {
     return range_.kind == ListingRange::Kind::kEverything ||
            range_.kind == ListingRange::Kind::kBackends;
@@ -62,7 +61,7 @@
 
  private:
   void startRange(const ListingRange& range);
-  /// @return true where a part that is read suffices.
+  /// @return true if the current partition holds enough backends.
   bool widen();
 
   std::uint32_t finePartition_ = 0;
--- a/src/core/registration.h
+++ b/src/core/registration.h
@@ -1,6 +1,6 @@
 /// @file
-/// What a fleet is told by its configuration store, one item at a time: back ends that registered
-/// themselves, and the routes in force. Items carry the store's revision.
+/// Items of the configuration store: backends that registered themselves, routes and zone
+/// evacuations. Items carry the store's revision.
 #pragma once
 
 #include <chrono>
@@ -15,26 +15,27 @@
 
 namespace cobaltgauge::core {
 
-/// A back end as it describes itself. A start of a back end is another registration under another
-/// id, or under the same id with a later time of start.
+/// A backend's description of itself. A restarted backend registers under a new id, or under the
+/// same id with a later start time.
 struct Registration {
   BackendId id = kNoBackend;
   std::string service;
   Endpoint endpoint;
   std::string zone;
   std::string softwareVersion;
-  std::uint32_t capacity = 1;  ///< Requests it handles at once.
+  std::uint32_t capacity = 1;  ///< Concurrent requests.
   BackendState state = BackendState::kActive;
-  std::chrono::milliseconds warmUpLeft{0};  ///< Slow for this much longer, seen from `revision`.
-  std::uint64_t startedAtMs = 0;            ///< Unix time of its start; zero: not told.
-  std::uint64_t statement = 0;  ///< Rises with all that it says of itself in a run; zero: not told.
+  std::chrono::milliseconds warmUpLeft{0};  ///< Remaining warm-up time as of `revision`.
+  std::uint64_t startedAtMs = 0;            ///< Unix time of its start; zero: not reported.
+  /// Increases with every registration update of an incarnation; zero: not reported.
+  std::uint64_t statement = 0;
 
   bool operator==(const Registration&) const = default;
-  /// @return true where only the numbers of the statements may differ.
+  /// @return true if the registrations are equal except for `statement`.
   bool hasSameContentAs(const Registration& other) const;
 };
 
-/// One service that a route sends flows to.
+/// A weighted target of a route.
 struct RouteTarget {
   std::string service;
   std::uint32_t weight = 1;
@@ -42,33 +43,34 @@
   bool operator==(const RouteTarget&) const = default;
 };
 
-/// What callers may do with a request that has failed.
+/// Whether clients may repeat a failed request.
 enum class RequestKind : std::uint8_t {
   kUnknown,
-  kSafe,      ///< It may run again.
-  kUnsafe,    ///< It runs at most once.
-  kDownload,  ///< It may run again, and its answer is large.
+  kSafe,      ///< May be repeated.
+  kUnsafe,    ///< Must run at most once.
+  kDownload,  ///< May be repeated; its response is large.
 };
 
-/// Where new flows to one address and port go, and what the requests on them are.
+/// Targets of new flows to one address and port, and properties of their requests.
 struct Route {
   std::string name;
   Endpoint endpoint;
   std::vector<RouteTarget> targets;  ///< At least one.
   RequestKind kind = RequestKind::kUnknown;
-  std::chrono::milliseconds latencyGoal{0};      ///< In which answers are wanted; zero: not told.
-  std::chrono::milliseconds timeout{0};          ///< After which callers give up; zero: not told.
-  std::uint32_t priority = 0;                    ///< Zero is the highest.
-  std::vector<std::string> allowedRegions = {};  ///< Of its back ends; empty: any.
+  std::chrono::milliseconds latencyGoal{0};  ///< Desired response time; zero: not reported.
+  std::chrono::milliseconds timeout{0};      ///< After which clients give up; zero: not reported.
+  std::uint32_t priority = 0;                ///< Zero is the highest.
+  std::vector<std::string> allowedRegions = {};  ///< Regions of its backends; empty: any.
 
   bool operator==(const Route&) const = default;
 };
 
-/// What is known of all back ends of a service.
+/// Properties of all backends of a service.
 struct ServiceTraits {
   std::string name;
-  std::chrono::milliseconds warmUp{0};  ///< For so long a back end is cold after its start.
-  /// Openings a second that a cold back end bears, from the whole fleet; zero: no bound.
+  std::chrono::milliseconds warmUp{0};  ///< Warm-up time of a backend after its start.
+  /// Connection attempts per second that a backend accepts from the whole fleet while warming up;
+  /// zero: unlimited.
   double coldOpenings = 0;
 
   bool operator==(const ServiceTraits&) const = default;
@@ -77,22 +79,22 @@
 /// All routes of one configuration version.
 struct RouteSet {
   ConfigurationVersion version = 0;
-  std::chrono::milliseconds idleTimeout{0};  ///< Flows idle for longer may be forgotten.
+  std::chrono::milliseconds idleTimeout{0};  ///< Flows that are idle for longer may be removed.
   std::vector<Route> routes;
   std::vector<ServiceTraits> services = {};
 };
 
-/// What a configuration version changed in the routes of an earlier one.
+/// The difference between the routes of two configuration versions.
 struct RouteDelta {
-  ConfigurationVersion from = 0;  ///< The version that it applies to.
+  ConfigurationVersion from = 0;  ///< The version that the delta applies to.
   ConfigurationVersion version = 0;
   std::chrono::milliseconds idleTimeout{0};
-  std::vector<Route> changed;  ///< Routes that are new or differ.
+  std::vector<Route> changed;  ///< New or changed routes.
   std::vector<Endpoint> dropped;
-  std::vector<ServiceTraits> services = {};  ///< All of the version; there are few.
+  std::vector<ServiceTraits> services = {};  ///< All services of the version.
 };
 
-/// Operators want a zone's back ends to get no new flow until the item is removed.
+/// The operators' request that backends of a zone get no new flows until the item is removed.
 struct ZoneEvacuation {
   std::string zone;
 
@@ -102,8 +104,8 @@
 /// An item that was removed from the store.
 struct RemovedItem {};
 
-/// An item that cannot be understood. A back end of its key gets no new flow and keeps its open
-/// ones; routes in force stay.
+/// An item that cannot be parsed. A backend with its key gets no new flows and keeps its open ones;
+/// the routes in effect stay.
 struct UnreadableItem {
   std::string reason;
 };
--- a/src/core/revision.h
+++ b/src/core/revision.h
@@ -1,9 +1,9 @@
 /// @file
-/// Places in the history of the store.
+/// Positions in the history of the store.
 ///
-/// A store that is restored from an older copy gives revisions out again, so that a bare number
-/// names two writes. Nothing here compares bare numbers: a place is an era and a revision of it,
-/// and everything of a later era comes after everything of an earlier one.
+/// A store that is restored from an older copy assigns revisions again, so that the same number may
+/// name two different writes. A position is therefore an era and a revision within it; every
+/// position of a later era is after all positions of earlier eras.
 #pragma once
 
 #include <compare>
@@ -13,22 +13,22 @@
 
 namespace cobaltgauge::core {
 
-/// Number of a copy of the store; rises each time the store comes back from an older one. Zero
-/// where the store does not tell.
+/// Number of a copy of the store; incremented each time the store is restored from an older copy.
+/// Zero if the store does not report eras.
 enum class StoreEra : std::uint64_t {};
 
-/// A change of the store, which rises with every change; zero means "none yet".
+/// Identifies a change in the store and increases with every change; zero means "none yet".
 struct Revision {
   StoreEra era{0};
-  std::uint64_t number = 0;  ///< The store's own, within the era.
+  std::uint64_t number = 0;  ///< The store's revision within the era.
 
   constexpr Revision() = default;
   constexpr Revision(StoreEra inEra, std::uint64_t revision) : era(inEra), number(revision) {}
-  /// A revision of a store that tells no eras.
+  /// A revision of a store that does not report eras.
   // NOLINTNEXTLINE(google-explicit-constructor)
   constexpr Revision(std::uint64_t revision) : number(revision) {}
 
-  /// Goes on to the next revision of the era.
+  /// Advances to the next revision of the era.
   constexpr Revision& operator++() {
     ++number;
     return *this;
@@ -42,7 +42,7 @@
   constexpr auto operator<=>(const Revision&) const = default;
 };
 
-/// @return `ERA:NUMBER`, or the number alone where the store tells no eras; for logs.
+/// @return `ERA:NUMBER`, or only the number if the store does not report eras; for logs.
 std::string toString(const Revision& revision);
 
 inline std::ostream& operator<<(std::ostream& out, const Revision& revision) {
--- a/src/core/route_table.cc
+++ b/src/core/route_table.cc
@@ -7,8 +7,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Versions whose changes are remembered for those who lack them: a storm brings one in 0.3 s, and
-/// nobody is behind for longer than a few seconds.
+/// Daemons are rarely behind by more than a few seconds, even if versions change rapidly.
 constexpr std::size_t kMaxRecentDeltas = 32;
 
 std::vector<RegionId> regionsOf(const Route& route) {
@@ -38,7 +37,7 @@
   if (routes.version <= version_) {
     return delta;
   }
-  // Of routes with one address the last one counts.
+  // If routes share an address, the last one applies.
   std::unordered_map<Endpoint, const Route*, EndpointHash> wanted;
   for (const Route& route : routes.routes) {
     wanted.insert_or_assign(route.endpoint, &route);
@@ -86,7 +85,8 @@
   if (at.era <= changedAt_.era) {
     return false;
   }
-  // Who began with the copy has an older version at a later place: to it the whole set is told.
+  // Daemons that started from the restored store have an older version at a later revision: they
+  // need the full set.
   changedAt_ = at;
   recentDeltas_.clear();
   deltasFrom_ = at;
--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -1,6 +1,6 @@
 /// @file
-/// The routes in force. Versions only rise. Routes that a version dropped are remembered, so that
-/// their flows can be told from flows to addresses that were never known here.
+/// The routes in effect. Versions only increase. Removed routes are kept for some time, to tell
+/// their flows from flows to addresses that were never known.
 #pragma once
 
 #include <deque>
@@ -21,45 +21,46 @@
   std::size_t operator()(const Endpoint& endpoint) const;
 };
 
-/// What became of an offered route set.
+/// The result of offering a route set.
 enum class RouteOfferResult : std::uint8_t {
   kAccepted,
   kUnchanged,
-  kRewritten,  ///< Unchanged, by a copy of the store that came back without it.
+  kRewritten,  ///< Unchanged, but written again after a restore of the store.
   kOlder,
-  kGap,  ///< It changes routes of a version that is not in force here.
+  kGap,  ///< The delta applies to a version that is not in effect here.
 };
 
-/// One route with the state of its split.
+/// A route with the state of its split.
 struct RouteEntry {
   Route route;
   WeightedSplit split;
-  std::vector<RegionId> regions;  ///< Those of `route.allowedRegions`.
+  std::vector<RegionId> regions;  ///< Ids of `route.allowedRegions`.
 
-  /// @return true where back ends of a region may get the route's flows.
+  /// @return true if backends of a region may get the route's flows.
   bool allows(RegionId region) const;
 };
 
 class RouteTable {
  public:
-  /// @param startOffset a random number; where the splits of this daemon begin their round, so that
-  /// daemons that start together do not all begin with the same target.
+  /// @param startOffset random start position of the weighted splits, so that daemons that start
+  /// together do not all begin with the same target.
   explicit RouteTable(std::uint64_t startOffset) : startOffset_(startOffset) {}
 
-  /// Takes a route set that is newer than the one in force.
+  /// Applies a route set that is newer than the one in effect.
   RouteOfferResult offer(const RouteSet& routes, Time now);
 
-  /// @return what a route set changes in the one in force; nothing where it is not newer.
+  /// @return the delta from the routes in effect to a route set; empty if the set is not newer.
   RouteDelta difference(const RouteSet& routes) const;
 
-  /// Takes what a version changed in the one in force. @param at the store's revision of it.
+  /// Applies the delta of a version to the one in effect. @param at the store's revision of the
+  /// delta.
   RouteOfferResult apply(const RouteDelta& delta, Time now, Revision at = 0);
 
-  /// @return what was taken after `have`, as items with their revisions; nothing where that is not
-  /// remembered any more.
+  /// @return the deltas applied after `have`, as items with their revisions; nothing if they are no
+  /// longer kept.
   std::optional<std::vector<StoreChange>> deltasSince(Revision have) const;
 
-  /// @return true where a listing of a later era shows the version in force as it was known before.
+  /// @return true if a listing of a later era shows the version in effect unchanged.
   bool isUnchangedSinceEarlierEra(ConfigurationVersion version, Revision revision) const {
     return version == version_ && changedAt_.era < revision.era &&
            changedAt_.number == revision.number;
@@ -67,38 +68,40 @@
 
   /// @return the route of an address, or null.
   RouteEntry* find(const Endpoint& endpoint);
-  /// @return true where a version dropped this route and none has brought it back.
+  /// @return true if a version removed this route and none has restored it.
   bool wasRemoved(const Endpoint& endpoint) const { return dropped_.contains(endpoint); }
 
-  /// Forgets dropped routes that no flow can belong to any more.
+  /// Discards removed routes that no flow can belong to any more.
   void forgetDropped(Time now, Duration retention);
 
-  /// @return every route in force.
+  /// @return every route in effect.
   std::vector<Route> routes() const;
   ConfigurationVersion version() const { return version_; }
-  /// @return the store's revision of the version in force; zero: none.
+  /// @return the store's revision of the version in effect; zero: none.
   Revision changedAt() const { return changedAt_; }
   std::size_t size() const { return routes_.size(); }
   std::chrono::milliseconds idleTimeout() const { return idleTimeout_; }
   const std::vector<ServiceTraits>& services() const { return services_; }
-  /// @return openings a second that a cold back end of the service bears; zero: no bound.
+  /// @return connection attempts per second that a warming-up backend of the service accepts; zero:
+  /// unlimited.
   double coldOpenings(ServiceId service) const;
 
  private:
   void put(const Route& route);
   void recordDelta(const RouteDelta& delta, Revision at);
-  /// Notes where the version in force stands in the store. @return whether that is in a later copy.
+  /// Records the store's revision of the version in effect. @return true if it is of a later era.
   bool markRewritten(Revision at);
   void setServices(const std::vector<ServiceTraits>& services);
 
   std::uint64_t startOffset_;
   ConfigurationVersion version_ = 0;
   Revision changedAt_ = 0;
-  std::deque<std::pair<Revision, RouteDelta>> recentDeltas_;  ///< Oldest first; bounded.
-  Revision deltasFrom_ = 0;  ///< Of the version that the oldest of these changed.
+  /// Oldest first; at most kMaxRecentDeltas.
+  std::deque<std::pair<Revision, RouteDelta>> recentDeltas_;
+  Revision deltasFrom_ = 0;  ///< Revision that the oldest recent delta applies to.
   std::chrono::milliseconds idleTimeout_{0};
   std::vector<ServiceTraits> services_;
-  std::unordered_map<ServiceId, double> coldOpenings_;  ///< Of services that have a bound.
+  std::unordered_map<ServiceId, double> coldOpenings_;  ///< Of services with a limit.
   std::unordered_map<Endpoint, RouteEntry, EndpointHash> routes_;
   std::unordered_map<Endpoint, Time, EndpointHash> dropped_;
 };
--- a/src/core/store_read.h
+++ b/src/core/store_read.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reads of the configuration store, and what they give.
+/// Read requests to the configuration store and their results.
 #pragma once
 
 #include <chrono>
@@ -13,52 +13,52 @@
 
 namespace cobaltgauge::core {
 
-/// One read to be made.
+/// One read request.
 struct StoreRead {
   enum class Kind : std::uint8_t { kList, kWatch };
-  /// Why it is made, for logs and metrics; each read costs the store.
+  /// Why the read is made; for logs and metrics.
   enum class Cause : std::uint8_t {
-    kFirstListing,  ///< This daemon has no view.
-    kNextPage,      ///< A listing goes on.
-    kRelist,        ///< The store dropped the history that a watch would need.
-    kCatchUp,       ///< A stale listing is to be brought up to date.
-    kGap,           ///< A peer told of changes that only the store can give.
+    kFirstListing,  ///< The daemon has no view.
+    kNextPage,      ///< Continues a listing.
+    kRelist,        ///< The store no longer has the history that the watch needs.
+    kCatchUp,       ///< Brings a stale listing up to date.
+    kGap,           ///< A peer announced changes that only the store can supply.
     kRetry,         ///< The last read failed.
-    kConfirm,       ///< What a lost read missed is not known, or a suspension is over.
-    kFollowStore,   ///< This daemon reads for itself and its followers.
-    kMissingPage,   ///< A view that is in use lacks back ends.
+    kConfirm,       ///< After a lost watch or a suspension, when changes may have been missed.
+    kFollowStore,   ///< Regular watch for this daemon and its followers.
+    kMissingPage,   ///< Backfills backends that the view in use lacks.
   };
   Kind kind = Kind::kList;
   Cause cause = Cause::kFirstListing;
-  ListingRange range{};        ///< Listing: the items that are read.
-  bool stale = false;          ///< Listing: an answer that is seconds old will do.
-  std::string afterKey;        ///< Listing: the page begins after this key; empty for the first.
-  Revision afterRevision = 0;  ///< Watch: only changes after this revision.
+  ListingRange range{};  ///< Listing: the items to read.
+  bool stale = false;    ///< Listing: a response that is seconds old is acceptable.
+  std::string afterKey;  ///< Listing: the page starts after this key; empty for the first page.
+  Revision afterRevision = 0;         ///< Watch: only changes after this revision.
   std::chrono::milliseconds wait{0};  ///< Watch: how long the store may wait for a change.
-  Duration timeout{};                 ///< When to give the read up.
+  Duration timeout{};                 ///< Abandon the read after this time.
 };
 
 enum class ReadOutcome : std::uint8_t {
   kAnswered,
-  kHistoryGone,     ///< The watch begins before the history that the store kept.
+  kHistoryGone,     ///< The watch starts before the history that the store keeps.
   kThrottled,       ///< Too many reads.
-  kUnavailable,     ///< The store said that nothing was done.
-  kTimedOut,        ///< No answer in time.
+  kUnavailable,     ///< The store reported that the request was not executed.
+  kTimedOut,        ///< No response in time.
   kConnectionLost,  ///< Refused, reset or closed.
-  kMalformed,       ///< The answer cannot be understood as a whole.
-  kOutdatedEra,     ///< An older copy of the store than one that has answered before.
+  kMalformed,       ///< The response as a whole cannot be parsed.
+  kOutdatedEra,     ///< The response is of an earlier era than one seen before.
 };
 
 const char* toString(ReadOutcome outcome);
 const char* toString(StoreRead::Cause cause);
 
-/// What a read gave.
+/// The result of a read.
 struct StoreReply {
   ReadOutcome outcome = ReadOutcome::kAnswered;
   std::string reason;     ///< Of a failure.
-  Revision revision = 0;  ///< The store's revision; of a failure its era alone.
+  Revision revision = 0;  ///< The store's revision; for a failure only its era is set.
   bool hasMore = false;
-  std::string lastKey;  ///< Of a listing's page; the next one begins after it.
+  std::string lastKey;  ///< Of a listing page; the next page starts after this key.
   std::vector<StoreChange> changes;
 };
 
--- a/src/core/store_reader.cc
+++ b/src/core/store_reader.cc
@@ -11,7 +11,7 @@
   if (isReading() || !isActive() || now < nextReadAt()) {
     return std::nullopt;
   }
-  // Who watches for others goes on doing so, since their views age meanwhile.
+  // A daemon with followers continues to watch, since their views age in the meantime.
   const bool isBackfillDue = isBackfilling() && (!active_ || watchedSinceBackfill_);
   pendingRead_ = listing_        ? PendingRead::kListing
                  : isBackfillDue ? PendingRead::kMissingPage
@@ -89,7 +89,7 @@
   if (reply.revision.era < storeEra()) {
     return ReadOutcome::kOutdatedEra;
   }
-  // What was asked for builds on a revision that a later copy may have given out again.
+  // The request builds on a revision that a later era may have assigned again.
   const Revision base = answered == PendingRead::kWatch         ? watchedFrom_
                         : answered == PendingRead::kMissingPage ? revision_
                                                                 : listedAt_;
@@ -146,7 +146,7 @@
   if (!plan_.onPage(reply.changes.size(), reply.hasMore, reply.lastKey)) {
     return;
   }
-  // A view that a peer gave meanwhile may hold more than a sample would show to be gone.
+  // A sample must not remove backends from a view that a peer supplied during the listing.
   if (plan_.coversAllBackends() || !synchronized_) {
     sink_.onListed(listedKeys_, listedAt_, now);
     recordGapBefore(listedAt_);
@@ -154,7 +154,7 @@
   if (plan_.coversAllBackends()) {
     markAllBackendsKnown();
   }
-  // A store that answers an older state than was seen before must not move the watch back.
+  // A store that responds with an older state must not move the watch back.
   revision_ = std::max(revision_, listedAt_);
   listing_ = false;
   confirming_ = allowStale_;
@@ -180,7 +180,7 @@
 }
 
 void StoreReader::onBackfillPage(const StoreReply& reply, Time now) {
-  // Current pages are not older than this view: every event that it took is in them.
+  // Backfill pages are current: they include every event that this view has applied.
   for (const StoreChange& change : reply.changes) {
     sink_.onMissingItem(change, now);
   }
@@ -221,7 +221,7 @@
   const bool isInBurst = changed && lastChangeAt_ != Time{} && now - lastChangeAt_ < kBurstGap;
   lastChangeAt_ = changed ? now : lastChangeAt_;
   const bool isWanted = backendNeededAt_ != Time{} && now - backendNeededAt_ < kWantedFor;
-  // An answer as large as a page is only the first of what has happened.
+  // A response as large as a page may be followed by more changes.
   const bool hasMore = changes >= kItemsOfStorePage / 2;
   if (isWanted || urgent_ || hasMore || isBackfilling()) {
     return 0ms;
@@ -241,7 +241,7 @@
   }
   const bool watchEnded =
       !listing_ && failuresInRow_ == 1 && outcome == ReadOutcome::kConnectionLost;
-  // Waiting watches are cut now and then; the first retry need not wait.
+  // Pending watches are closed now and then, so the first retry is immediate.
   nextReadAt_ = watchEnded ? now : now + backOffAfter(outcome);
   if (synchronized_ && (otherReadersRetryDelay_ || failuresInRow_ > kTriesBeforeRare)) {
     deferredReadAt_ = now + randomDelay(otherReadersRetryDelay_.value_or(maxSharedRetryDelay_));
@@ -270,7 +270,7 @@
 }
 
 void StoreReader::clearListing() {
-  // A view that was in use may hold more than a sample would show to be gone.
+  // A sample must not remove backends from a view that was in use.
   plan_.begin(synchronized_ ? std::nullopt : sampleSeed_);
   listedKeys_.clear();
   listedAt_ = 0;
@@ -321,7 +321,8 @@
 }
 
 void StoreReader::confirm(Time at) {
-  // Others whose watches found the same confirm each other's old views until one has listed.
+  // Earlier confirmations may come from daemons that lost the same history and have not listed
+  // again.
   if (at > historyGoneAt_) {
     abandonListing();
   }
--- a/src/core/store_reader.h
+++ b/src/core/store_reader.h
@@ -1,24 +1,25 @@
 /// @file
-/// Keeps a view in step with a store that can only be read: lists all items once, then watches for
-/// changes. A deterministic state machine without input or output: it says what to read next and
-/// takes the answers. It survives a store that is down, slow, silent, throttling or has dropped its
-/// history, and never takes a change twice or an older one after a newer.
+/// Keeps a view synchronized with a read-only store: lists all items once, then watches for
+/// changes. A deterministic state machine without I/O: it returns the next read to make and
+/// processes the responses. It tolerates a store that is down, slow, unresponsive, throttling or
+/// has compacted its history, and never applies a change twice or an older change after a newer
+/// one.
 ///
-/// A listing comes in pages that are no snapshot. The watch therefore begins at the lowest revision
-/// of the pages: what changed meanwhile arrives again as events, and revisions order the two.
+/// The pages of a listing are not a snapshot. The watch therefore starts at the lowest revision of
+/// all pages: changes made during the listing arrive again as events and are ordered by revision.
 ///
-/// A store that comes back from an older copy has lost the end of its history and gives the
-/// revisions of that out again. Its answers say so by a later era. A watch from a revision of an
-/// earlier era says nothing then, nor does a listing with pages of two eras: the view is listed
-/// anew, as after any lost history.
+/// A store that was restored from an older copy has lost the end of its history and assigns the
+/// lost revisions again. Its responses carry a later era. Watches from a revision of an earlier era
+/// and listings with pages of two eras are invalid then, and the view is listed again as after any
+/// lost history.
 ///
-/// The first listing may be stale, which costs the store little when a whole fleet starts at once;
-/// it counts only once a watch has brought it up to date. Where the history for that is gone, and
-/// ever after, listings are current.
+/// The first listing may be stale, which limits the load on the store when a whole fleet starts at
+/// once. The view counts as synchronized only after a watch has brought it up to date. If the
+/// history needed for that is gone, the next listing is a current one, and so are all later
+/// listings.
 ///
-/// The first listing may be a sample (core/listing_plan.h). The view is then complete, which means
-/// in step with the store in what it holds, and not whole: back ends are missing. Pages of peers or
-/// of the store add them while the view is in use.
+/// The first listing may be a sample (core/listing_plan.h). The view is synchronized then, but
+/// lacks backends. Pages from peers or the store backfill them while the view is in use.
 #pragma once
 
 #include <algorithm>
@@ -39,19 +40,20 @@
 
 namespace cobaltgauge::core {
 
-/// Takes what the reader learns, in the order of the store's answers.
+/// Receives the results of reads in the order of the store's responses.
 class StoreSink {
  public:
   virtual ~StoreSink() = default;
-  /// @return false where the view lacks what the change builds on.
+  /// @return false if the view lacks the state that the change builds on.
   virtual bool onChange(const StoreChange& change, Time now) = 0;
-  /// An item of a listing, which may have been known before.
+  /// Called for each item of a listing, which may be known already.
   virtual void onListedItem(const StoreChange& item, Time now) = 0;
-  /// A listing is complete: an item that is not in `keys` and not newer than `listedAt` is gone.
+  /// Called at the end of a listing: items that are not in `keys` and not newer than `listedAt`
+  /// have been removed.
   virtual void onListed(const std::set<std::string>& keys, Revision listedAt, Time now) = 0;
-  /// A back end that a view in use lacked. It is no change: nobody is told of it.
+  /// Called for a backend that a view in use lacked. It is not a change and is not propagated.
   virtual void onMissingItem(const StoreChange& item, Time now) = 0;
-  /// The view holds every back end from now on.
+  /// Called once the view holds every backend.
   virtual void onAllBackendsKnown() = 0;
 };
 
@@ -68,33 +70,34 @@
  public:
   StoreReader(StoreSink& sink, Random& random) : sink_(sink), random_(random) {}
 
-  /// @return the read that is due, at most one at a time; answer it by onReply().
+  /// @return the read that is due; there is at most one at a time. Answer it with onReply().
   std::optional<StoreRead> nextRead(Time now);
 
-  /// Takes the answer to the read that nextRead() gave last.
-  /// @return what it counts as: an answer of another copy of the store than the one that was asked
-  /// says that the history is gone, or nothing.
+  /// Processes the response to the last read returned by nextRead().
+  /// @return the effective outcome: a response of another era than the request counts as lost
+  /// history or as a failure.
   ReadOutcome onReply(const StoreReply& reply, Time now);
 
-  /// Call after the process was suspended and the read under way was given up: reads at once.
+  /// Call after the process was suspended and the pending read was dropped; makes a read due at
+  /// once.
   void onResume(Time now);
 
-  /// Takes over changes that make the view complete up to a revision and came from elsewhere.
+  /// Records that changes from another source have brought the view up to a revision.
   void adopt(Revision revision);
-  /// Takes over that changes of a peer lead across a gap in the history that it has followed.
+  /// Records that changes of a peer span a gap in the history that the peer has followed.
   void adoptGap(const HistoryGap& gap);
-  /// Takes over a whole view that replaced this one.
+  /// Records that a full view has replaced this one.
   void replace(Revision revision);
 
-  /// Notes that a part of what the view lacked was taken, up to a revision. It leaves open whether
-  /// the view is whole: a stale listing with a part is as old as the part.
+  /// Records that some of the missing changes were applied, up to a revision. Does not mark the
+  /// view as synchronized: a stale listing with some later changes may still lack others.
   void advance(Revision revision);
 
-  /// Notes that a peer knew, at this time, that nothing newer than this view was in the store.
+  /// Records that a peer found nothing newer than this view in the store at the given time.
   void confirm(Time at);
 
-  /// Sets how long a watch may wait, for how long a confirmed view counts as current, and after how
-  /// long at most a read is repeated that others make as well.
+  /// Sets the maximum wait of a watch, how long a confirmed view counts as current, and the maximum
+  /// delay before retrying a read that other daemons make as well.
   void setReadTimings(std::chrono::milliseconds watchWait, Duration currentFor,
                       Duration maxSharedRetryDelay) {
     watchWait_ = watchWait;
@@ -102,120 +105,121 @@
     maxSharedRetryDelay_ = maxSharedRetryDelay;
   }
 
-  /// Lets nextRead() give reads, or not: a daemon that follows a peer has no need of them.
+  /// Enables or disables reads; a daemon that follows a peer needs none.
   void setActive(bool active) { active_ = active; }
   bool isActive() const { return active_ || isBackfilling(); }
 
-  /// Says whether other daemons read as well and will tell this one: a read is followed by a pause
-  /// then, and reads that have failed several times are repeated rarely.
+  /// Sets whether other daemons read as well and propagate changes to this one. If so, reads are
+  /// followed by a pause, and reads that failed several times are retried rarely.
   void setHasOtherReaders(bool hasOtherReaders) { hasOtherReaders_ = hasOtherReaders; }
 
-  /// Says that those others read in vain, or with nothing that they do not. A read of this daemon's
-  /// that fails as well is repeated after at most `retryDelay`, half of it random.
+  /// Sets whether the reads of those daemons fail or return nothing new. A failed read of this
+  /// daemon is then retried after a random delay from half of `retryDelay` to all of it.
   void setOtherReadersFailing(std::optional<Duration> retryDelay) {
     otherReadersRetryDelay_ = retryDelay;
   }
   bool areOtherReadersFailing() const { return otherReadersRetryDelay_.has_value(); }
 
-  /// Lets the next read wait until then where others read as well and nothing is urgent.
+  /// Defers the next read until the given time, if other daemons read as well and nothing is
+  /// urgent.
   void deferRead(Time until) { deferredReadAt_ = std::max(deferredReadAt_, until); }
 
-  /// Sets how long a daemon without a view waits at most before it tries a store again that fails.
+  /// Sets the maximum retry delay of a daemon without a view.
   void setStartupBackOff(Duration maxDelay) { startupBackOff_ = maxDelay; }
 
-  /// Notes that the store serves others: a try that waits is made now.
+  /// Records that the store answers other daemons: a delayed retry is made now.
   void expediteRead(Time now) { nextReadAt_ = std::min(nextReadAt_, now); }
 
-  /// Lets first listings be samples from now on. @param sampleSeed of this daemon among all, at
-  /// random.
+  /// Makes first listings samples from now on. @param sampleSeed random number that selects the
+  /// partition of this daemon.
   void enableSampling(std::uint32_t sampleSeed);
-  /// Lets nextRead() give pages of the back ends that a view in use lacks, one after the other and
-  /// between watches.
+  /// Enables reads of pages that backfill a view in use, one at a time and alternating with
+  /// watches.
   void setBackfilling(bool backfilling) { backfilling_ = backfilling; }
-  /// Notes that peers have given every back end that was missing.
+  /// Records that the view holds every backend.
   void markAllBackendsKnown();
 
-  /// Says whether something is missing that only a read can give: no read is put off then.
+  /// Sets whether something is missing that only a read can supply; reads are not deferred then.
   void setUrgent(bool urgent) { urgent_ = urgent; }
 
-  /// Notes that a part of an answer arrived.
+  /// Records that part of a response arrived.
   void onProgress(Time now) { lastAnswerAt_ = now; }
 
-  /// Notes that a packet could not be decided for want of a back end: changes are urgent. Before
-  /// the first whole view it is that view which is urgent, and nothing is known of changes.
+  /// Records that a packet could not be routed for lack of a backend, which makes changes urgent.
+  /// Before the first view is synchronized, only that view is urgent.
   void onBackendNeeded(Time now);
 
-  /// @return when nextRead() may give a read, where none is under way.
+  /// @return when nextRead() may return a read, if none is pending.
   Time nextReadAt() const;
   bool isReading() const { return pendingRead_ != PendingRead::kNone; }
-  /// @return true while a listing is to be made or under way.
+  /// @return true while a listing is due or in progress.
   bool isListing() const { return listing_; }
-  /// @return true where the last read failed.
+  /// @return true if the last read failed.
   bool isFailing() const { return failuresInRow_ > 0; }
-  /// @return true where the store turned the last read away, and nothing has come from it since.
-  /// One that is slow, or busy with the listings of others, is not meant.
+  /// @return true if the store rejected the last read and has sent nothing since. Timeouts do not
+  /// count.
   bool wasRejected() const { return rejectedAt_ > lastAnswerAt_; }
-  /// @return when the view was last known to be the store's; zero where it never was.
+  /// @return when the view was last known to match the store; zero if never.
   Time confirmedAt() const { return confirmedAt_; }
 
-  /// @return true where the view is as new as the store, as far as can be known here: a watch is
-  /// under way on a view that is complete, or the last answer is recent.
+  /// @return true if the view is known to be as new as the store: a watch is pending on a
+  /// synchronized view, or the last response is recent.
   bool isCurrent(Time now) const;
-  /// @return true where the view is in step with the store in all that it holds.
+  /// @return true if all items that the view holds are synchronized with the store.
   bool isSynchronized() const { return synchronized_; }
-  /// @return true where a complete view holds every back end.
+  /// @return true if a synchronized view holds every backend.
   bool hasAllBackends() const { return synchronized_ && hasAllBackends_; }
-  /// @return which part of the store's history this view has followed.
+  /// @return the part of the store's history that this view has followed.
   const FollowedHistory& history() const { return history_; }
-  /// @return the revision from which on every change was taken; zero where nothing was listed.
+  /// @return the revision since which every change was applied; zero before the first listing.
   Revision baseRevision() const { return history_.GetBase(); }
-  /// @return true where this view shows all that a view complete up to `have` lacks.
+  /// @return true if this view holds all that a view complete up to `have` lacks.
   bool canSendChangesSince(Revision have) const {
     return hasAllBackends() && history_.Covers(have);
   }
 
-  /// Sets how long at most a view in use waits before it is listed again for want of history:
-  /// a peer may bring it up to date meanwhile, for far less.
+  /// Sets the maximum delay before a view in use is listed again for lost history. A peer may bring
+  /// it up to date in the meantime at lower cost.
   void setMaxRelistDelay(Duration maxDelay) { maxRelistDelay_ = maxDelay; }
-  /// @return true where the changes of a peer can be taken: no first listing is under way. One that
-  /// replaces a lost history ends where a peer's view is confirmed to be newer than that.
+  /// @return true if changes of a peer can be applied: no first listing is in progress. A listing
+  /// that replaces lost history is abandoned once a peer's view is confirmed to be newer.
   bool acceptsChanges() const { return !listing_ || synchronized_; }
-  /// @return true where the first listing was stale and is not yet brought up to date.
+  /// @return true if the first listing was stale and has not been brought up to date.
   bool isCatchingUp() const { return !synchronized_ && !listing_; }
-  /// @return true where packets wait for the first whole view.
+  /// @return true if packets wait for the first synchronized view.
   bool isViewNeeded() const { return isViewNeeded_ && !synchronized_; }
 
   Revision revision() const { return revision_; }
-  /// @return the latest era that the store or a peer has shown.
+  /// @return the latest era seen from the store or a peer.
   StoreEra storeEra() const { return std::max(storeEra_, revision_.era); }
-  /// @return when the store last answered anything; zero before the first answer.
+  /// @return when the store last responded; zero before the first response.
   Time lastAnswerAt() const { return lastAnswerAt_; }
   const StoreReaderCounters& counters() const { return counters_; }
 
  private:
-  /// The read that nextRead() gave last and that is not answered.
+  /// The last read returned by nextRead() that has no response yet.
   enum class PendingRead : std::uint8_t {
     kNone,
     kListing,
-    kMissingPage,  ///< For a view in use.
+    kMissingPage,  ///< Backfills a view in use.
     kWatch,
-    kAbandoned,  ///< A listing that was given up: its answer is not wanted any more.
+    kAbandoned,  ///< An abandoned listing; its response is ignored.
   };
 
-  /// @return what an answer counts as, see onReply().
+  /// @return the effective outcome of a response, see onReply().
   ReadOutcome classifyReply(const StoreReply& reply, PendingRead answered) const;
   void onHistoryGone(Time now);
   void onPage(const StoreReply& reply, Time now);
   void onBackfillPage(const StoreReply& reply, Time now);
-  /// Notes that a listing replaces changes that are not known.
+  /// Records that a listing replaces changes that are unknown.
   void recordGapBefore(Revision listed);
   void onEvents(const StoreReply& reply, Time now);
   void onFailure(ReadOutcome outcome, Time now);
   void beginListing();
   void clearListing();
-  /// Ends a listing that replaces a lost history: a peer has told what was missing.
+  /// Abandons a listing that replaces lost history, since a peer supplied the missing changes.
   void abandonListing();
-  /// @return true where pages are read for a view that is in use.
+  /// @return true while pages are read for a view in use.
   bool isBackfilling() const { return backfilling_ && synchronized_ && !hasAllBackends_; }
   StoreRead listRead(StoreRead::Cause cause, const ListingRange& range,
                      const std::string& afterKey);
@@ -224,11 +228,11 @@
   StoreRead watchRead();
   StoreRead::Cause cause() const;
   std::chrono::milliseconds watchWait() const;
-  /// @return how long to leave the store alone after an answer.
+  /// @return the pause before the next watch.
   std::chrono::milliseconds pauseAfter(std::size_t changes, Time now);
   Duration timeoutNow() const;
   Duration backOffAfter(ReadOutcome outcome);
-  /// @return a random time from half of `maxDelay` to all of it.
+  /// @return a random duration between half of `maxDelay` and all of it.
   Duration randomDelay(Duration maxDelay);
 
   StoreSink& sink_;
@@ -245,26 +249,26 @@
   bool listing_ = true;
   bool synchronized_ = false;
   bool hasAllBackends_ = false;
-  std::optional<std::uint32_t> sampleSeed_;  ///< None: first listings are whole.
+  std::optional<std::uint32_t> sampleSeed_;  ///< Empty: first listings are not sampled.
   bool backfilling_ = false;
-  std::string backfillAfterKey_;       ///< Pages up to here were added to a view in use.
-  bool watchedSinceBackfill_ = false;  ///< Pages of a view in use take turns with watches.
+  std::string backfillAfterKey_;       ///< Backfilled up to this key.
+  bool watchedSinceBackfill_ = false;  ///< Backfill pages alternate with watches.
   Time backendNeededAt_{};
-  bool isViewNeeded_ = false;           ///< Packets wait for the first whole view.
-  bool allowStale_ = true;              ///< No listing has been tried but the first.
-  std::chrono::milliseconds pause_{0};  ///< Before the next watch, which waits so much less.
-  bool confirming_ = false;  ///< The last watch was lost; what it missed is not known yet.
+  bool isViewNeeded_ = false;           ///< Packets wait for the first synchronized view.
+  bool allowStale_ = true;              ///< Only the first listing may be stale.
+  std::chrono::milliseconds pause_{0};  ///< Before the next watch, whose wait is shortened by it.
+  bool confirming_ = false;             ///< The last watch was lost and may have missed changes.
   Time nextReadAt_{};
-  Time deferredReadAt_{};  ///< Instead, where others read as well and nothing is urgent.
+  Time deferredReadAt_{};  ///< Lower bound if other daemons read as well and nothing is urgent.
   Time lastAnswerAt_{};
   Time historyGoneAt_{};
   Time rejectedAt_{};
   Time confirmedAt_{};
   Time lastChangeAt_{};
-  StoreEra storeEra_{0};      ///< Of the latest answer.
-  Revision watchedFrom_ = 0;  ///< Base of the watch that is under way, or was last.
-  Revision revision_ = 0;     ///< Changes up to this one are known; base of the next watch.
-  Revision listedAt_ = 0;     ///< Of the listing's first page.
+  StoreEra storeEra_{0};      ///< Of the latest response.
+  Revision watchedFrom_ = 0;  ///< Start revision of the pending or last watch.
+  Revision revision_ = 0;     ///< All changes up to this one are known; start of the next watch.
+  Revision listedAt_ = 0;     ///< Lowest revision of the listing's pages.
   FollowedHistory history_;
   Duration maxRelistDelay_{};
   ListingPlan plan_;
--- a/src/core/view_conversion.cc
+++ b/src/core/view_conversion.cc
@@ -69,7 +69,6 @@
   return {message.name, std::chrono::milliseconds(message.warmUpMs), message.coldOpenings};
 }
 
-/// @return the route, or nothing where it has no targets.
 std::optional<Route> toRoute(const ViewRoute& message) {
   if (message.services.empty() || message.services.size() != message.weights.size()) {
     return std::nullopt;
@@ -101,7 +100,7 @@
   return message;
 }
 
-/// A whole set is what changes where nothing is in force.
+/// A full route set is a delta to version zero.
 ViewRouteDelta toMessage(const StoreChange& change, const RouteSet& routes) {
   return toMessage(
       change,
@@ -153,7 +152,7 @@
   for (const ViewBackend& backend : update.backends) {
     changes.push_back(toChange(backend));
   }
-  // A removal of what was never seen leaves no trace: whatever it removes comes before it.
+  // Added items come before removals: the removal of an unknown evacuation has no effect.
   for (const ViewEvacuation& evacuation : update.evacuations) {
     changes.push_back(toChange(evacuation));
   }
--- a/src/core/view_conversion.h
+++ b/src/core/view_conversion.h
@@ -1,5 +1,5 @@
 /// @file
-/// Turns a view and its changes into messages between daemons and back.
+/// Converts a view and its changes to peer messages and back.
 #pragma once
 
 #include <optional>
@@ -22,12 +22,13 @@
 ViewService toMessage(const ServiceTraits& service);
 ServiceTraits toTraits(const ViewService& message);
 
-/// @return the route, or nothing where it has no targets.
+/// @return the route, or nothing if it has no targets.
 std::optional<Route> toRoute(const ViewRoute& message);
 
-/// Adds changes to an update. Items that cannot be read are left out.
+/// Adds changes to an update. Unreadable items are skipped.
 void addToUpdate(const std::vector<StoreChange>& changes, ViewUpdate& update);
-/// @return the changes of an update. Revisions order those of one key, so kinds may be mixed.
+/// @return the changes of an update. Changes of one key are ordered by revision, so kinds may be in
+/// any order.
 std::vector<StoreChange> toStoreChanges(const ViewUpdate& update);
 
 }  // namespace cobaltgauge::core
--- a/src/core/view_exchange.h
+++ b/src/core/view_exchange.h
@@ -1,11 +1,11 @@
 /// @file
-/// Gives daemons that the store does not serve their view from a peer. Each daemon makes itself
-/// known to its seeds at start; asks peers while it has no view, or while the store has failed it
-/// for a while; and answers whoever asks. Nothing is sent while the store serves it.
+/// Transfers full views between peers for daemons that cannot read the store. Each daemon announces
+/// itself to its seeds at start, requests views while it has none or while its reads have failed
+/// for some time, and answers requests. Nothing is sent while the store answers.
 ///
-/// A view is complete up to its revision and is ordered with the store's answers by it, so a peer
-/// can bring a daemon forward and never back. A view from a peer does not count as current: no
-/// opening is refused because of it.
+/// A view is complete up to its revision and ordered with the store's responses by it, so a peer
+/// can never set a daemon back to an older state. A view from a peer does not count as current and
+/// is no reason to reject connection attempts.
 #pragma once
 
 #include <vector>
@@ -20,7 +20,7 @@
 
 namespace cobaltgauge::core {
 
-/// A message on its way to a peer.
+/// A message to be sent to a peer.
 struct OutgoingView {
   Endpoint destination;
   std::variant<ViewRequest, ViewTransfer> message;
@@ -36,20 +36,21 @@
 
 class ViewExchange {
  public:
-  /// @param self where this daemon takes peer messages.
-  /// @param changes what peers that lack only these get through the relay; null for nothing.
-  /// All references outlive the exchange.
+  /// @param self address on which this daemon receives peer messages.
+  /// @param changes log of changes that peers can get through the relay instead of a full view; may
+  /// be null.
+  /// All references must outlive the exchange.
   ViewExchange(const Endpoint& self, TokenSteering& steering, StoreSink& sink, StoreReader& reader,
                Random& random, const ChangeLog* changes = nullptr);
 
-  /// Notes that the daemon starts now.
+  /// Records the start time of the daemon.
   void start(Time now);
-  /// Names daemons that may exist.
+  /// Sets daemons that may exist.
   void setSeeds(const std::vector<Endpoint>& seeds);
 
   void onTick(Time now);
   void onRequest(const ViewRequest& request, Time now);
-  /// @return true where the view moved this daemon forward.
+  /// @return true if the view was newer and has been applied.
   bool onTransfer(const ViewTransfer& transfer, Time now);
 
   std::vector<OutgoingView> takeMessages();
@@ -57,7 +58,7 @@
   std::size_t peerCount() const { return peers_.size(); }
   /// @return daemons that may exist.
   const std::vector<Endpoint>& peers() const { return peers_; }
-  /// Notes daemons that a peer named.
+  /// Adds daemons that a peer named.
   void addPeers(const std::vector<Endpoint>& peers);
 
  private:
@@ -65,7 +66,7 @@
   void announce();
   void requestViews(Time now);
   void addPeer(const Endpoint& peer);
-  /// @return true where a peer that is complete up to `have` needs a whole view.
+  /// @return true if a peer that is complete up to `have` needs a full view.
   bool needsFullView(Revision have) const;
   ViewTransfer makeTransfer(const ViewRequest& request, Time now);
 
@@ -75,7 +76,7 @@
   StoreReader& reader_;
   Random& random_;
   const ChangeLog* changes_;
-  std::vector<Endpoint> peers_;  ///< Newest last.
+  std::vector<Endpoint> peers_;  ///< Most recent last.
   RankedTokenBucket viewBudget_{kViewUnitsPerSecond};
   std::vector<OutgoingView> outgoing_;
   bool announced_ = false;
--- a/src/core/view_messages.h
+++ b/src/core/view_messages.h
@@ -1,6 +1,6 @@
 /// @file
-/// Messages by which daemons give each other their view of the store. The wire form lives in
-/// net/peer_codec.h.
+/// Messages by which daemons exchange their views of the store. See net/peer_codec.h for the wire
+/// format.
 #pragma once
 
 #include <string>
@@ -12,14 +12,14 @@
 
 namespace cobaltgauge::core {
 
-/// Asks a daemon for its view.
+/// Requests a daemon's view.
 struct ViewRequest {
-  Endpoint replyTo;     ///< Where the sender takes peer messages.
-  Revision have = 0;    ///< The sender's own revision; only a newer view is wanted.
-  bool wanted = false;  ///< False: the sender only makes itself known.
+  Endpoint replyTo;     ///< Address on which the sender receives peer messages.
+  Revision have = 0;    ///< The sender's revision; only a newer view is requested.
+  bool wanted = false;  ///< False: the sender only announces itself.
 };
 
-/// One back end of a view.
+/// One backend of a view.
 struct ViewBackend {
   std::string key;
   Revision revision = 0;
@@ -35,7 +35,7 @@
   std::uint64_t statement = 0;
 };
 
-/// One route of a view; services and weights run in parallel.
+/// One route of a view; `services` and `weights` are parallel arrays.
 struct ViewRoute {
   std::string name;
   Endpoint endpoint;
@@ -48,24 +48,24 @@
   std::vector<std::string> allowedRegions = {};
 };
 
-/// What is known of all back ends of a service.
+/// Properties of all backends of a service.
 struct ViewService {
   std::string name;
   std::uint32_t warmUpMs = 0;
   double coldOpenings = 0;
 };
 
-/// A zone that operators have taken out.
+/// A zone that operators have evacuated.
 struct ViewEvacuation {
   std::string key;
   Revision revision = 0;
   std::string zone;
 };
 
-/// A daemon's whole view, complete up to a revision, and the daemons that it knows.
+/// A daemon's full view, complete up to a revision, and the daemons that it knows.
 struct ViewTransfer {
-  Revision revision = 0;    ///< Zero: no newer view than the requester has.
-  std::uint32_t ageMs = 0;  ///< Since the sender knew it to be current.
+  Revision revision = 0;    ///< Zero: no newer view than the requester's.
+  std::uint32_t ageMs = 0;  ///< Since the sender last knew it to be current.
   ConfigurationVersion version = 0;
   std::uint32_t idleTimeoutMs = 0;
   std::vector<ViewRoute> routes;
@@ -75,30 +75,30 @@
   std::vector<ViewService> services = {};
 };
 
-/// Asks for a page of the back ends that a view in use lacks.
+/// Requests a backfill page for a view in use.
 struct ViewPageRequest {
-  Endpoint replyTo;      ///< Where the sender takes peer messages.
-  std::string afterKey;  ///< The page begins after this key; empty for the first.
-  Revision atLeast = 0;  ///< The page has to be complete up to here.
+  Endpoint replyTo;      ///< Address on which the sender receives peer messages.
+  std::string afterKey;  ///< The page starts after this key; empty for the first page.
+  Revision atLeast = 0;  ///< The page must be complete up to this revision.
 };
 
-/// Some back ends of a whole view, in the order of their keys.
+/// Some backends of a full view, ordered by key.
 struct ViewPage {
   Endpoint sender;
   std::string afterKey;   ///< Of the request.
-  Revision revision = 0;  ///< Complete up to here; zero: the sender has none to give now.
-  bool isLast = false;    ///< No back end follows.
+  Revision revision = 0;  ///< Complete up to this revision; zero: no page available now.
+  bool isLast = false;    ///< No further backend follows.
   std::vector<ViewBackend> backends;
-  std::vector<Endpoint> whole;  ///< Daemons that got the last page from the sender.
+  std::vector<Endpoint> whole;  ///< Daemons to which the sender sent the last page.
 };
 
-/// An item that is no longer in the store.
+/// An item that was removed from the store.
 struct ViewRemoval {
   std::string key;
   Revision revision = 0;
 };
 
-/// What a configuration version changed in the routes of an earlier one.
+/// The difference between the routes of two configuration versions.
 struct ViewRouteDelta {
   std::string key;
   Revision revision = 0;
@@ -110,51 +110,53 @@
   std::vector<ViewService> services = {};
 };
 
-/// A daemon has seen a back end leave a caller without an answer.
+/// A daemon's observation of a backend that did not respond to a client.
 struct OutlierObservation {
   BackendId backend = kNoBackend;
-  std::uint64_t reporter = 0;  ///< Tells daemons apart.
+  std::uint64_t reporter = 0;  ///< Identifies the daemon.
 };
 
-/// Observations on their way to the daemon that decides.
+/// Observations sent to the daemon that decides on outliers.
 struct OutlierReport {
   std::vector<OutlierObservation> observations;
 };
 
-/// Asks for every change of a daemon's view from now on, for the time of a lease, and for those
+/// Subscribes to the changes of a daemon's view for the duration of a lease, and requests those
 /// that the sender lacks.
 struct ViewSubscription {
-  Endpoint replyTo;            ///< Where the sender takes peer messages.
-  Revision have = 0;           ///< The sender's view is complete up to here.
-  std::uint64_t sentAtUs = 0;  ///< By the sender's clock; returned in the answer.
-  /// The sender and all that follow it, directly or not, where it follows the receiver; zero where
-  /// it only asks, so that nobody is counted twice.
+  Endpoint replyTo;            ///< Address on which the sender receives peer messages.
+  Revision have = 0;           ///< The sender's view is complete up to this revision.
+  std::uint64_t sentAtUs = 0;  ///< By the sender's clock; echoed in the response.
+  /// Number of daemons in the sender's subtree of followers, including itself, if it follows the
+  /// receiver; zero if it only makes a request, so that no daemon is counted twice.
   std::uint32_t daemons = 0;
 };
 
-/// What changed in a daemon's view, and how old the view can be. Times are the sender's.
+/// Changes of a daemon's view and the age of the view. Times are by the sender's clock.
 struct ViewUpdate {
   Endpoint sender;
-  std::uint64_t echoUs = 0;   ///< Of the subscription that this answers; zero: of none.
-  std::uint64_t clockUs = 0;  ///< When this was sent.
-  /// When the view was known to be the store's. Zero: it never was, or some changes are left out
-  /// and the rest is to be asked for.
+  std::uint64_t echoUs = 0;   ///< `sentAtUs` of the subscription that this answers; zero if none.
+  std::uint64_t clockUs = 0;  ///< Time of sending.
+  /// When the view was last known to match the store. Zero if never, or if changes are omitted and
+  /// the rest has to be requested.
   std::uint64_t confirmedUs = 0;
-  std::uint64_t readerRank = 0;  ///< Of the daemon whose reading showed that.
-  Revision from = 0;             ///< A view complete up to here is brought up to `revision`.
-  Revision revision = 0;         ///< Zero: the sender has no view.
-  /// Where the changes lead across a gap in the history that the sender has followed. A view that
-  /// is complete up to a place in it cannot take them.
+  std::uint64_t readerRank = 0;  ///< Of the daemon whose read confirmed the view.
+  Revision from = 0;  ///< The update applies to views that are complete up to this revision.
+  /// Complete up to this revision after the update; zero: the sender has no view.
+  Revision revision = 0;
+  /// Set if the changes span a gap in the history that the sender has followed. A view that is
+  /// complete up to a revision within the gap cannot apply them.
   HistoryGap gap;
-  bool leaving = false;  ///< The sender stops; look for another daemon.
-  bool full = false;     ///< Not subscribed; one of `peers` may have room.
+  bool leaving = false;  ///< The sender is shutting down; follow another daemon.
+  bool full = false;     ///< The subscription was rejected; one of `peers` may have capacity.
   std::vector<ViewBackend> backends;
   std::vector<ViewRemoval> removals;
   std::vector<ViewRouteDelta> routes;
-  std::vector<Endpoint> peers;      ///< Some that follow the sender.
-  std::vector<BackendId> outliers;  ///< Back ends that leave callers without answers.
+  std::vector<Endpoint> peers;      ///< Some followers of the sender.
+  std::vector<BackendId> outliers;  ///< Backends that do not respond to clients.
   std::vector<ViewEvacuation> evacuations;
-  std::uint32_t daemons = 0;  ///< In the tree of the reader that confirmed this; zero: not known.
+  /// Size of the tree of the reader that confirmed this view; zero: unknown.
+  std::uint32_t daemons = 0;
 };
 
 }  // namespace cobaltgauge::core
--- a/src/core/view_updater.cc
+++ b/src/core/view_updater.cc
@@ -10,7 +10,7 @@
 }
 
 void ViewUpdater::onListedItem(const StoreChange& item, Time now) {
-  // Telling each daemon of everything again would cost 450 KB where there are 10,000 back ends.
+  // Avoids propagating every unchanged item after a restore of the store.
   if (!isKnownFromEarlierEra(item)) {
     onChange(item, now);
   }
@@ -44,7 +44,7 @@
 bool ViewUpdater::apply(const StoreChange& change, const RouteDelta& delta, Time now) {
   const RouteOfferResult offer = routes_.apply(delta, now, change.revision);
   if (offer == RouteOfferResult::kRewritten) {
-    // Others may have begun with a copy of the store that lacked it.
+    // Other daemons may have started from a restored store that lacked it.
     record(change);
     return true;
   }
@@ -65,7 +65,7 @@
 }
 
 bool ViewUpdater::apply(const StoreChange& change, const RemovedItem&, Time now) {
-  // Routes are never removed as a whole: a version replaces them.
+  // Routes are never removed as a whole: a new version replaces them.
   if (backends_.evacuations().Knows(change.key)) {
     const bool wasEvacuated = isEvacuated(change.key);
     if (backends_.removeEvacuation(change.key, change.revision)) {
@@ -78,7 +78,7 @@
   }
   const bool isKnown = backends_.knows(change.key);
   const RegistryEvent event = backends_.remove(change.key, change.revision, now);
-  // A peer may know an item from a listing's later page that this daemon never saw.
+  // A peer may know an item of a later listing page that this daemon never received.
   if (event != RegistryEvent::kNone || !isKnown) {
     record(change);
   }
@@ -94,7 +94,7 @@
   report.reason = unreadable.reason;
   listener_(report);
   if (const Registration* known = backends_.findPresent(change.key)) {
-    // Who wrote this is not known to be the back end: nothing but its end as a candidate is taken.
+    // The writer may not be the backend itself, so the item only stops new flows.
     Registration drained = *known;
     drained.state = BackendState::kLeaving;
     return apply({change.key, change.revision, drained}, drained, now);
--- a/src/core/view_updater.h
+++ b/src/core/view_updater.h
@@ -1,6 +1,5 @@
 /// @file
-/// Puts what the store says into the view by which flows are steered, and reports each change of
-/// what this daemon believes.
+/// Applies the store's items to the view that steers flows, and reports each change of the view.
 #pragma once
 
 #include <functional>
@@ -12,7 +11,7 @@
 
 namespace cobaltgauge::core {
 
-/// One change of the view, or the refusal of one; for logs.
+/// An applied or rejected change of the view; for logs.
 struct ViewChange {
   enum class Kind : std::uint8_t {
     kBackend,
@@ -23,7 +22,7 @@
     kAllBackendsKnown,
     kEvacuationBegan,
     kEvacuationEnded,
-    kEvacuationLost,  ///< With a copy of the store; its zone stays out for a while.
+    kEvacuationLost,  ///< Lost with a restore of the store; the zone stays evacuated for a while.
   };
   Kind kind = Kind::kBackend;
   std::string key;
@@ -33,14 +32,15 @@
   std::string zone;                  ///< Of an evacuation.
   ConfigurationVersion version = 0;  ///< Of the route set.
   std::string reason;                ///< Why an item cannot be read.
-  std::size_t backends = 0;  ///< Of a first listing or a whole view; these are not told apart.
+  /// Of a first listing or a full view, whose backends are not reported one by one.
+  std::size_t backends = 0;
 };
 
 class ViewUpdater : public StoreSink {
  public:
   using Listener = std::function<void(const ViewChange&)>;
 
-  /// @param log takes every change that had an effect; outlives the updater. Null for none.
+  /// @param log receives every change that had an effect; must outlive the updater. May be null.
   ViewUpdater(BackendRegistry& backends, RouteTable& routes, Listener listener,
               ChangeLog* log = nullptr)
       : backends_(backends), routes_(routes), listener_(std::move(listener)), log_(log) {}
@@ -51,7 +51,7 @@
   void onMissingItem(const StoreChange& item, Time now) override;
   void onAllBackendsKnown() override;
 
-  /// Reports evacuations that were lost and are over now; call with each tick.
+  /// Reports lost evacuations that have expired; call with each tick.
   void reportExpiredEvacuations();
 
  private:
@@ -63,10 +63,10 @@
   bool apply(const StoreChange& change, const UnreadableItem& unreadable, Time now);
   bool apply(const StoreChange& change, const ZoneEvacuation& evacuation, Time now);
   void record(StoreChange change);
-  /// @return true where the zone of an evacuation's item is out.
+  /// @return true if the zone of this evacuation item is evacuated.
   bool isEvacuated(const std::string& key) const;
   void reportEvacuation(const std::string& key, Revision revision, ViewChange::Kind kind);
-  /// Reports that an evacuation's item is gone.
+  /// Reports that an evacuation item was removed.
   void reportRemoved(const std::string& key, Revision revision);
   void reportBackend(const std::string& key, Revision revision, RegistryEvent event,
                      const std::string& service);
@@ -76,8 +76,8 @@
   Listener listener_;
   ChangeLog* log_;
   bool listed_ = false;            ///< The first listing is complete.
-  bool hasAllBackends_ = false;    ///< Every back end is known.
-  std::size_t addedBackends_ = 0;  ///< While the view was not whole.
+  bool hasAllBackends_ = false;    ///< Every backend is known.
+  std::size_t addedBackends_ = 0;  ///< Until every backend is known.
 };
 
 }  // namespace cobaltgauge::core
--- a/src/core/weighted_split.cc
+++ b/src/core/weighted_split.cc
@@ -18,7 +18,7 @@
   if (total_ == 0 || weights_.size() < 2) {
     return;
   }
-  // A round has as many steps as the weights add up to; go to a random step of it.
+  // A full cycle has as many steps as the sum of the weights; start at a random step of it.
   const auto round = std::min<std::uint64_t>(static_cast<std::uint64_t>(total_), kMaxStartOffset);
   for (std::uint64_t step = startOffset % round; step > 0; --step) {
     next();
--- a/src/core/weighted_split.h
+++ b/src/core/weighted_split.h
@@ -1,7 +1,6 @@
 /// @file
-/// Shares flows over the targets of a route by weight. Smooth weighted round robin: after any run
-/// of choices each target's count is within one of its share, where random draws would be off by
-/// the square root of the run.
+/// Distributes flows over the targets of a route by smooth weighted round robin: after any number
+/// of choices each target's count is within one of its share.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +13,10 @@
 
 class WeightedSplit {
  public:
-  /// @param startOffset where in the round to begin.
+  /// @param startOffset number of initial steps to skip.
   WeightedSplit(const std::vector<RouteTarget>& targets, std::uint64_t startOffset);
 
-  /// @return the index of the next target by weight; 0 where all weights are zero.
+  /// @return the index of the next target; 0 if all weights are zero.
   std::size_t next();
 
  private:
--- a/tests/core/backend_registry_test.cc
+++ b/tests/core/backend_registry_test.cc
@@ -54,7 +54,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(backends_with_colliding_tokens_do_not_both_take_flows) {
-  // Ids whose tokens collide are found by search, as the token has 32 bits.
+  // Searches for two ids with the same 32-bit token.
   std::unordered_map<core::SteeringToken, std::uint64_t> seen;
   std::uint64_t id = 1;
   while (seen.try_emplace(core::HashTokenOf(BackendId{id}), id).second) {
@@ -68,7 +68,7 @@
   BOOST_TEST((registry.findByToken(core::HashTokenOf(BackendId{id}))->id == BackendId{other}));
 }
 
-// A listing gives items by key; the later back end may come before the one that it replaced.
+// Listings are ordered by key, so the later backend may come before the one that it replaced.
 BOOST_AUTO_TEST_CASE(latest_backend_at_address_is_independent_of_listing_order) {
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 10, now);
   registry.put("servers/b", makeRegistration(2, "other", 1, 1), 5, now);
@@ -77,8 +77,8 @@
   BOOST_TEST(!registry.isSuperseded(BackendId{1}));
 }
 
-// A write that the store took seconds late named a crashed back end after the one that had taken
-// its address; that one was given up for good.
+// Guards against superseding a live backend when the store applies a delayed write of a crashed one
+// at the same address.
 BOOST_AUTO_TEST_CASE(late_update_of_previous_backend_does_not_supersede_current_one) {
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 10, now);
   registry.put("servers/b", makeRegistration(2, "web", 1, 1), 20, now);
@@ -89,7 +89,7 @@
   BOOST_TEST(!registry.isSuperseded(BackendId{2}));
 }
 
-// A listing with both shows the late word alone; the next word of the living one corrects that.
+// A listing shows only the delayed write; the next update of the live backend corrects that.
 BOOST_AUTO_TEST_CASE(backend_that_updates_again_is_not_superseded) {
   registry.put("servers/b", makeRegistration(2, "web", 1, 1), 20, now);
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 30, now);
@@ -99,7 +99,7 @@
   BOOST_TEST(registry.takesNewFlows(BackendId{2}));
 }
 
-// A list that was collected before the change went on offering it to the service that it left.
+// Guards against a cached candidate list that keeps a backend after it changed its service.
 BOOST_AUTO_TEST_CASE(changing_service_leaves_previous_service) {
   registry.put("servers/a", makeRegistration(1, "web", 1, 1), 10, now);
   BOOST_TEST(registry.candidates(web).size() == 1U);
@@ -172,7 +172,7 @@
   BOOST_TEST(registry.takeRestarted().empty());
 }
 
-// The store may take a write of the run before seconds after the new one registered.
+// The store may apply a write of the previous incarnation seconds after the new registration.
 BOOST_AUTO_TEST_CASE(late_update_of_previous_incarnation_is_ignored) {
   registry.put("servers/1", startedAt(1000), 1, now);
   core::Registration next = startedAt(2000);
@@ -183,7 +183,7 @@
   BOOST_TEST((registry.put("servers/1", late, 3, now) == RegistryEvent::kNone));
   BOOST_TEST(registry.takesNewFlows(BackendId{1}));
   BOOST_TEST(registry.find(BackendId{1})->endpoint.port == 9000U);
-  // Of what is not told no order follows.
+  // Without start times, updates are ordered by revision only.
   BOOST_TEST((registry.put("servers/2", makeRegistration(2, "web", 1, 2), 4, now) ==
               RegistryEvent::kAdded));
   BOOST_TEST((registry.put("servers/2", makeRegistration(2, "web", 1, 2), 5, now) ==
@@ -213,7 +213,7 @@
     core::WeightedSplit split({{"a", 90}, {"b", 10}}, core::mixHash(start, 1));
     first += split.next() == 0 ? 1 : 0;
   }
-  // A plain round robin would begin with the first target at every daemon.
+  // Without random offsets, every daemon would begin with the first target.
   BOOST_TEST(first > 160);
   BOOST_TEST(first < 195);
 }
--- a/tests/core/listing_plan_test.cc
+++ b/tests/core/listing_plan_test.cc
@@ -22,7 +22,7 @@
   BOOST_TEST(plan.coversAllBackends());
 }
 
-// 985 daemons before 10,000 back ends: 39 of them in a fine part.
+// With 10,000 backends a fine partition holds 39 on average.
 BOOST_AUTO_TEST_CASE(sample_reads_operator_items_and_one_partition) {
   ListingPlan plan;
   plan.begin(300);
@@ -54,7 +54,7 @@
   BOOST_TEST(plan.coversAllBackends());
 }
 
-// Keys of a form that the parts do not divide: one part is empty, or holds all.
+// If the keys are not spread over the partitions, one partition may be empty or hold all of them.
 BOOST_AUTO_TEST_CASE(one_page_of_partition_suffices) {
   ListingPlan plan;
   plan.begin(7);
--- a/tests/core/restarted_backends_test.cc
+++ b/tests/core/restarted_backends_test.cc
@@ -1,4 +1,4 @@
-/// Back ends that start again under their ids, and entries that other writers put in their place.
+/// Backends that restart under the same id, and unreadable items that replace a registration.
 #include "core/constants.h"
 #include "core/token_steering.h"
 #include "core/view_updater.h"
@@ -31,7 +31,8 @@
     putBackend(1, incarnation(2000));
   }
 
-  /// Leaves an opening on the back end unanswered until it is proven dead.
+  /// Leaves a connection attempt unanswered until the backend's probe times out and it is
+  /// considered dead.
   void markDead(BackendId backend) {
     std::uint16_t port = 500;
     for (BackendId opened = backendOf(open(port)); opened != backend;
@@ -48,7 +49,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(RestartedBackendsTest, RestartedBackendsFixture)
 
-// The dead incarnation's proof of death reset flows that other daemons had opened at the new one.
+// Guards against resetting flows of the new incarnation because the previous one was found dead.
 BOOST_AUTO_TEST_CASE(restart_clears_dead_state) {
   putBackend(1, incarnation(1000));
   markDead(BackendId{1});
@@ -91,14 +92,14 @@
     now += 200ms;
     BOOST_TEST((openAndAnswer(port) != backend));
   }
-  // Its own next word brings it back.
+  // The next update of the backend itself reactivates it.
   putBackend(static_cast<std::uint64_t>(backend),
              makeRegistration(static_cast<std::uint64_t>(backend), "web", 1,
                               static_cast<std::uint8_t>(backend)));
   BOOST_TEST(steering.backends().takesNewFlows(backend));
 }
 
-// Followers learn of the store by changes alone.
+// Followers receive only the logged changes.
 BOOST_AUTO_TEST_CASE(unreadable_item_is_logged_as_draining_for_followers) {
   log.Close(revision);
   updater.onChange({keyOf(1), ++revision, core::UnreadableItem{"bytes"}}, now);
@@ -118,7 +119,8 @@
   BOOST_TEST((reports[0].kind == core::ViewChange::Kind::kUnreadable));
 }
 
-// A listing taken as the truth would let it vanish, and so be a last resort again.
+// Guards against removing the backend at the end of the listing, which would make it a fallback
+// target.
 BOOST_AUTO_TEST_CASE(unreadable_item_in_listing_is_not_a_fallback_target) {
   updater.onChange({keyOf(1), ++revision, core::UnreadableItem{"bytes"}}, now);
   steering.backends().remove(keyOf(2), ++revision, now);
--- a/tests/core/sampled_view_test.cc
+++ b/tests/core/sampled_view_test.cc
@@ -1,4 +1,4 @@
-/// A reader whose first listing is a sample of many back ends.
+/// Tests of StoreReader with a sampled first listing of many backends.
 #include <boost/test/unit_test.hpp>
 
 #include "core/constants.h"
@@ -55,7 +55,7 @@
     reader.onReply(store.answer(read), now);
     return read;
   }
-  /// Reads until flows can be taken.
+  /// Reads until the view is synchronized.
   void begin() {
     while (!reader.isSynchronized()) {
       answerNext();
@@ -78,7 +78,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(SampledViewTest, SampledViewFixture)
 
-// Before, a view of 10,000 back ends took 21 reads and 2 MB before the first opening.
+// Guards against reading all backends before the first flow can be accepted.
 BOOST_AUTO_TEST_CASE(accepts_flows_after_two_listings_and_a_watch) {
   BOOST_TEST((answerNext().range.kind == Kind::kOperators));
   BOOST_TEST((answerNext().range.kind == Kind::kBackendPartition));
@@ -111,13 +111,13 @@
   BOOST_TEST(reader.isActive());
   BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
   BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
-  // A page under way shows nothing of how new the view is.
+  // A pending backfill page does not show that the view is current.
   now += 10s;
   nextRead();
   BOOST_TEST(!reader.isCurrent(now));
 }
 
-// Followers would take back ends that were there all the time for changes.
+// Guards against propagating backfilled backends to followers as changes.
 BOOST_AUTO_TEST_CASE(backfilled_backends_are_not_logged_as_changes) {
   begin();
   log.Close(reader.revision());
@@ -143,7 +143,7 @@
   updater.onChange({keyOf(id), store.revision() + 1, core::RemovedItem{}}, now);
   updater.onMissingItem(seen, now);
   BOOST_TEST(!backends.takesNewFlows(core::BackendId{id}));
-  // One that registered again after that is another matter.
+  // A later registration is applied.
   updater.onMissingItem({keyOf(id), store.revision() + 2, backend(id)}, now);
   BOOST_TEST(backends.takesNewFlows(core::BackendId{id}));
 }
@@ -154,7 +154,7 @@
   store.compact();
   answerNext();
   answerNext();
-  answerNext();  // The watch: the history is gone.
+  answerNext();  // The watch; the history is gone.
   const StoreRead again = nextRead();
   BOOST_TEST((again.range.kind == Kind::kOperators));
   BOOST_TEST(!again.stale);
@@ -175,7 +175,7 @@
   BOOST_TEST((nextRead().range.kind == Kind::kEverything));
 }
 
-// The listing goes on after a peer gave a whole view: its end must take nothing away.
+// The listing ends after a peer supplied a full view, and must not remove anything from it.
 BOOST_AUTO_TEST_CASE(late_sample_does_not_remove_backends_from_full_view) {
   answerNext();
   const StoreRead part = nextRead();
--- a/tests/core/store_era_reader_test.cc
+++ b/tests/core/store_era_reader_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// A reader whose store comes back from an older copy: what was asked of one copy and answered by
-/// another.
+/// Tests of StoreReader with a store that is restored from an older copy between request and
+/// response.
 #include <boost/test/unit_test.hpp>
 
 #include "core/view_updater.h"
@@ -50,8 +50,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(StoreEraReaderTest, StoreEraReaderFixture)
 
-// The store has given out again more revisions than this view had seen, so that a watch from there
-// is answered: by what came after, without what came before.
+// Guards against a watch that the restored store answers because it has assigned the revisions
+// again, without the changes before them.
 BOOST_AUTO_TEST_CASE(watch_answered_by_restored_store_relists) {
   const FakeStore::Snapshot snapshot = store.snapshot();
   add(4);
@@ -68,7 +68,7 @@
   BOOST_TEST(reader.revision() == store.revision());
 }
 
-// A peer's changes have moved the view into the new era while the watch was under way.
+// Changes of a peer moved the view to the new era while the watch was pending.
 BOOST_AUTO_TEST_CASE(watch_from_earlier_era_is_discarded_after_peer_update) {
   const FakeStore::Snapshot snapshot = store.snapshot();
   add(4);
--- a/tests/core/store_reader_test.cc
+++ b/tests/core/store_reader_test.cc
@@ -14,7 +14,7 @@
 using core::StoreRead;
 using namespace std::chrono_literals;
 
-/// A reader with the view it fills, and a store to answer it.
+/// A reader with its view and a store that answers it.
 struct ReaderFixture {
   sim::SeededRandom random{1};
   core::EqualWeights weights;
@@ -27,7 +27,7 @@
   FakeStore store;
   core::Time now = 1s;
 
-  /// Advances to the next read. @return it.
+  /// Advances to the next read and returns it.
   StoreRead nextRead() {
     now = std::max(now, reader.nextReadAt());
     const std::optional<StoreRead> read = reader.nextRead(now);
@@ -41,7 +41,7 @@
     reader.onReply(failedRead(outcome), now);
   }
 
-  /// Lists a store that holds routes of version 7 and two back ends.
+  /// Reads from a store that holds routes of version 7 and two backends.
   void begin() {
     store.put("op/config", makeRoutes(7, {{1, "web"}}));
     store.put("servers/1", makeRegistration(1, "web", 1, 1));
@@ -66,7 +66,7 @@
   BOOST_TEST((reader.nextReadAt() - now >= core::kReadBackOffCovered / 2));
   BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffCovered));
   BOOST_TEST(!reader.nextRead(now + core::kReadBackOffLongest).has_value());
-  // Sooner where changes have to be in force sooner.
+  // A shorter maximum delay is applied.
   reader.setReadTimings(core::kWatchWait / 2, core::kViewCurrentFor, core::kReadBackOffCovered / 2);
   failNext(ReadOutcome::kUnavailable);
   BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffCovered / 2));
@@ -80,7 +80,7 @@
   BOOST_TEST((reader.nextReadAt() - now == core::kLetOthersRead));
   BOOST_TEST((nextRead().wait == core::kWatchWait - core::kLetOthersRead));
   reader.onReply(store.answer({}), now);
-  // Not where packets wait for a back end.
+  // No pause while packets wait for a backend.
   reader.onBackendNeeded(now);
   answerNext();
   BOOST_TEST((reader.nextReadAt() == now));
@@ -99,8 +99,7 @@
   BOOST_TEST(reader.isSynchronized());
 }
 
-// After a loss of power 170 of 295 daemons read once more at once, since packets had waited for
-// their first view (cflc-quotes-large trouble-2).
+// Guards against an extra read by every daemon whose packets waited for the first view.
 BOOST_AUTO_TEST_CASE(packets_waiting_for_first_view_do_not_make_changes_urgent) {
   reader.setHasOtherReaders(true);
   reader.onBackendNeeded(now);
@@ -129,7 +128,7 @@
   failNext(ReadOutcome::kUnavailable);
   BOOST_TEST((reader.nextReadAt() - now >= 4s));
   BOOST_TEST((reader.nextReadAt() - now <= 8s));
-  // None of it where nobody else reads any more.
+  // Without other readers the retry is not deferred.
   reader.setHasOtherReaders(false);
   BOOST_TEST((reader.nextReadAt() - now <= core::kReadBackOffLongest));
 }
@@ -188,8 +187,7 @@
   BOOST_TEST(!reader.nextRead(now + 10s).has_value());
 }
 
-// At 100 machines it took 8 s until all were serving again after all had been killed: listings of
-// 1,001 back ends exhausted the store's reads.
+// Guards against overloading the store with current listings when a whole fleet starts.
 BOOST_AUTO_TEST_CASE(first_listing_is_stale_until_watch_catches_up) {
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
   store.put("servers/1", makeRegistration(1, "web", 1, 1));
@@ -210,8 +208,7 @@
   BOOST_TEST(activeBackends() == 0U);
 }
 
-// With stale listings throughout, a watch that began before the kept history was told so again and
-// again (a trial of an earlier program: seconds of old view).
+// Guards against repeating stale listings that are older than the store's history forever.
 BOOST_AUTO_TEST_CASE(stale_listing_before_kept_history_is_relisted) {
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
   store.freezeStale();
@@ -248,7 +245,7 @@
   store.put("servers/2", makeRegistration(2, "web", 1, 2));
   answerNext();
   answerNext();
-  // The first page's item changes and the second page's goes while the third is still to come.
+  // Changes an item of the first page and removes one of the second page before the third is read.
   store.put("op/config", makeRoutes(8, {{1, "web"}}));
   store.put("servers/1", core::RemovedItem{});
   answerNext();
@@ -284,7 +281,7 @@
   BOOST_TEST(reader.revision() == 3U);
 }
 
-// What other writers put there names no back end for use.
+// An item written by someone else must not keep the backend in use.
 BOOST_AUTO_TEST_CASE(unreadable_item_drains_backend_and_is_reported) {
   begin();
   changes.clear();
@@ -298,14 +295,13 @@
   BOOST_TEST(changes[0].reason == "no address");
   BOOST_TEST(changes[1].key == "servers/1");
   BOOST_TEST((changes[1].backendEvent == core::RegistryEvent::kLeaving));
-  // Routes that cannot be read leave those in force.
+  // Unreadable routes leave those in effect unchanged.
   store.put("op/config", core::UnreadableItem{"no version"});
   answerNext();
   BOOST_TEST(routes.version() == 7U);
 }
 
-// A store that was just about to drop its history parked the watch that came at once after the cut,
-// and answered it only with the next change: routes stayed five seconds behind (trouble-3).
+// Guards against a long watch that the store does not answer after the previous one was lost.
 BOOST_AUTO_TEST_CASE(lost_watch_is_followed_by_short_watch) {
   begin();
   failNext(ReadOutcome::kConnectionLost);
@@ -341,7 +337,7 @@
   BOOST_TEST(activeBackends() == 2U);
 }
 
-// Every change of a burst cost every daemon a call (848 calls on cflc scale-1).
+// Guards against one read per change and daemon in a burst of changes.
 BOOST_AUTO_TEST_CASE(burst_of_changes_is_batched) {
   begin();
   const std::uint64_t watchesBefore = reader.counters().watches;
@@ -359,7 +355,7 @@
   BOOST_TEST(reader.revision() == store.revision());
 }
 
-// Back ends registered one after the other, and openings crowded on the first ones (ptf scale-2).
+// Guards against directing all new flows to the first of several backends that register in a row.
 BOOST_AUTO_TEST_CASE(reads_at_once_while_packets_wait) {
   begin();
   for (std::uint64_t id = 10; id < 20; ++id) {
--- a/tests/core/view_backfill_property_test.cc
+++ b/tests/core/view_backfill_property_test.cc
@@ -1,4 +1,4 @@
-/// A view that fills from pages ends as the store is, whatever came in which order.
+/// Checks that a backfilled view converges to the store for any order of pages and changes.
 #include <rapidcheck.h>
 
 #include <boost/test/unit_test.hpp>
@@ -24,13 +24,13 @@
   core::Revision revision = 0;
 };
 
-/// A page on its way: it may arrive late.
+/// A page in transit, which may arrive late.
 struct Page {
   core::Revision revision = 0;
   std::vector<core::StoreChange> backends;
 };
 
-/// A store, a daemon with a whole view that gives pages, and one that began with a sample.
+/// A store, a daemon with a full view that sends pages, and a daemon with a sampled view.
 struct BackfillModel {
   std::vector<core::StoreChange> history;
   std::set<std::string> present;
@@ -62,7 +62,7 @@
     }
   }
 
-  /// The backfilled daemon lists some of what is there and takes every change from then on.
+  /// Gives the sampled view some of the items; it receives every change from then on.
   void begin() {
     base = history.size();
     backfilled.revision = base;
--- a/tests/core/view_exchange_test.cc
+++ b/tests/core/view_exchange_test.cc
@@ -10,7 +10,7 @@
 using core::BackendId;
 using core::ReadOutcome;
 
-/// One daemon's view, reader and exchange.
+/// A daemon's view, reader and exchange.
 struct Node {
   core::Endpoint address;
   sim::SeededRandom random{1};
@@ -25,7 +25,7 @@
   std::size_t backends() const { return steering.backends().activeCount(); }
 };
 
-/// Three daemons; the first two read the store, the third knows the first as its seed.
+/// Three daemons: the first two read the store, the third has the first one as its seed.
 struct ExchangeFixture {
   FakeStore store;
   Node first{1};
@@ -60,7 +60,7 @@
     }
   }
 
-  /// Ticks all daemons and carries their messages, until nobody has any.
+  /// Ticks all daemons and delivers their messages until there are none left.
   void tick() {
     for (Node* node : {&first, &second, &third}) {
       node->exchange.onTick(now);
@@ -90,7 +90,8 @@
     }
   }
 
-  /// @return how many of that many daemons get a whole view of the first one at the same time.
+  /// @return how many of the given number of daemons get a full view from the first one if all
+  /// request it at once.
   std::size_t countFullViews(std::size_t daemons) {
     std::size_t views = 0;
     for (std::size_t i = 0; i < daemons; ++i) {
@@ -103,7 +104,7 @@
     return views;
   }
 
-  Node* partitioned = nullptr;  ///< Gets no messages.
+  Node* partitioned = nullptr;  ///< Receives no messages.
 };
 
 BOOST_FIXTURE_TEST_SUITE(ViewExchangeTest, ExchangeFixture)
@@ -120,7 +121,8 @@
   BOOST_TEST(third.backends() == 0U);
 }
 
-// A daemon that started while the store was down, or refused it, served nobody until it answered.
+// Guards against a daemon that starts while the store is down and cannot serve until the store
+// answers.
 BOOST_AUTO_TEST_CASE(starting_daemon_gets_view_from_peer) {
   tick();
   BOOST_TEST(third.backends() == 0U);
@@ -133,8 +135,8 @@
   BOOST_TEST(!third.reader.isCurrent(now + core::kViewCurrentFor));
 }
 
-// 56 daemons that were added while the store reset every connection tried it 313 times and served
-// nobody for 0.6 s (cflc-quotes-large trouble-3).
+// Guards against retrying a store that rejects connections instead of requesting a view from a
+// peer.
 BOOST_AUTO_TEST_CASE(rejected_first_read_requests_peer_view_at_once) {
   tick();
   fail(third);
@@ -143,15 +145,14 @@
   BOOST_TEST(third.reader.isSynchronized());
 }
 
-// 300 daemons that list 3,000 back ends at once wait for the store's link: each asked for whole
-// views of its peers as well, 130 MB between zones.
+// Guards against full views from every peer when many daemons wait for listings of a slow store.
 BOOST_AUTO_TEST_CASE(slow_store_does_not_trigger_peer_request) {
   tick();
   third.reader.nextRead(now);
   third.reader.onReply(failedRead(ReadOutcome::kTimedOut), now);
   tick();
   BOOST_TEST(!third.reader.isSynchronized());
-  // Nor one that was turned away, once an answer arrives.
+  // A rejected daemon sends no requests either, once part of a response has arrived.
   now += 50ms;
   fail(third);
   third.reader.onProgress(now + 1ms);
@@ -200,7 +201,7 @@
 
 BOOST_AUTO_TEST_CASE(seeds_share_known_peers) {
   tick();
-  // The seed dies; the second daemon is known to the third only through it.
+  // The seed fails; the third daemon knows the second one only through it.
   now += core::kStoreFirstTry;
   fail(third);
   const core::Revision before = third.reader.revision();
@@ -228,8 +229,7 @@
   BOOST_TEST(second.exchange.counters().requestsSent == sent);
 }
 
-// At 300 machines the seeds sent each starting daemon 300 KB though the store was answering them,
-// and it took 30 s until all served.
+// Guards against requesting views from seeds while the store answers page by page.
 BOOST_AUTO_TEST_CASE(progressing_listing_sends_no_requests) {
   store.pageSize = 1;
   for (int page = 0; page < 3; ++page) {
@@ -241,8 +241,7 @@
   BOOST_TEST(third.exchange.counters().requestsSent == 0U);
 }
 
-// Daemons that lacked one version got a view of 150 KB each: 180 views on a day (ptf-checkin-grown,
-// scale-2), 27 MB of the 50 MB between zones.
+// Guards against sending full views to daemons that lack only a few changes.
 BOOST_AUTO_TEST_CASE(peer_reachable_by_changes_gets_no_full_view) {
   core::ChangeLog log;
   log.Close(3);
@@ -260,7 +259,7 @@
   BOOST_TEST(sentRevision(0) == 4U);
 }
 
-// A listing that takes long because a machine's link is slow is no silence of the store.
+// A listing that takes long on a slow link does not mean that the store is unresponsive.
 BOOST_AUTO_TEST_CASE(partial_answer_progress_sends_no_requests) {
   for (int part = 0; part < 5; ++part) {
     now += core::kStoreFirstTry - 1ms;
@@ -270,8 +269,7 @@
   BOOST_TEST(third.exchange.counters().requestsSent == 0U);
 }
 
-// After most daemons were killed while the store was down, four views a second from each of the few
-// others kept the rest waiting for a second (own day all_restart, cflc-quotes-grown).
+// Guards against delaying many starting daemons by a low limit on small views.
 BOOST_AUTO_TEST_CASE(small_views_are_sent_to_many_at_once) {
   BOOST_TEST(countFullViews(100) == core::kViewUnitsPerSecond);
 }
--- a/tests/support/revision_arithmetic.h
+++ b/tests/support/revision_arithmetic.h
@@ -1,5 +1,5 @@
 /// @file
-/// Neighbours of a revision within its era. Nothing in the product counts revisions.
+/// Offsets of a revision within its era, for tests only.
 #pragma once
 
 #include "core/revision.h"
--- a/tests/support/store_fixtures.h
+++ b/tests/support/store_fixtures.h
@@ -1,5 +1,5 @@
 /// @file
-/// A store of items with revisions, history and its faults, as far as tests of readers need it.
+/// A fake store with revisions, history and faults, for tests of readers.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace cobaltgauge::tests {
 
-/// @return a registration of an active back end at 10.`network`.0.`host`:8000.
+/// @return the registration of an active backend at 10.`network`.0.`host`:8000.
 inline core::Registration makeRegistration(std::uint64_t id, const std::string& service,
                                            std::uint8_t network, std::uint8_t host) {
   core::Registration registration;
@@ -26,7 +26,7 @@
   return registration;
 }
 
-/// @return a route set with one route for each (address host number, service).
+/// @return a route set with one route per (address host number, service).
 inline core::RouteSet makeRoutes(
     core::ConfigurationVersion version,
     const std::vector<std::pair<std::uint8_t, std::string>>& services) {
@@ -38,10 +38,10 @@
   return set;
 }
 
-/// Answers reads as a store does. Time and loss are the test's.
+/// Answers reads like a store. Time and message loss are up to the test.
 class FakeStore {
  public:
-  /// What a store held at some time.
+  /// The contents of a store at one point in time.
   struct Snapshot {
     std::uint64_t revision = 0;
     std::uint64_t historyFrom = 0;
@@ -50,12 +50,12 @@
   };
 
   std::size_t pageSize = 500;
-  std::size_t watchSize = SIZE_MAX;  ///< Changes of one answer at most.
-  /// Stale listings give this state, where there is one.
+  std::size_t watchSize = SIZE_MAX;  ///< Maximum number of changes in one response.
+  /// The state that stale listings return, if `staleAt` is set.
   std::map<std::string, core::StoreChange> staleItems;
   core::Revision staleAt = 0;
 
-  /// Makes stale listings give the present state from now on.
+  /// Makes stale listings return the present state from now on.
   void freezeStale() {
     staleItems = items_;
     staleAt = revision();
@@ -72,7 +72,7 @@
     return revision();
   }
 
-  /// Forgets the history up to now.
+  /// Discards the history.
   void compact() {
     history_.clear();
     historyFrom_ = revision_;
@@ -89,7 +89,7 @@
 
   Snapshot snapshot() const { return {revision_, historyFrom_, items_, history_}; }
 
-  /// Goes on from a copy: what was written since is gone, and its revisions are given out again.
+  /// Continues from a snapshot: later writes are lost, and their revisions are assigned again.
   void restore(const Snapshot& snapshot) {
     era_ = core::StoreEra{static_cast<std::uint64_t>(era_) + 1};
     revision_ = snapshot.revision;
@@ -105,7 +105,7 @@
   }
 
  private:
-  /// What was written before the copy was made is shown by its number alone, as all else.
+  /// All items carry the current era, also those written before the snapshot.
   void stamp(core::StoreReply& reply) const {
     reply.revision.era = era_;
     for (core::StoreChange& change : reply.changes) {
@@ -148,7 +148,7 @@
     return false;
   }
 
-  /// @return the fine part of a key, even over keys as drawn ids are.
+  /// @return the fine partition of a key; keys are spread evenly.
   static std::uint32_t finePartitionOf(const std::string& key) {
     return static_cast<std::uint32_t>(core::hashName(key) % core::kFinePartitions);
   }
@@ -180,7 +180,7 @@
   std::vector<core::StoreChange> history_;
 };
 
-/// @return the reply of a read that failed.
+/// @return the reply of a failed read.
 inline core::StoreReply failedRead(core::ReadOutcome outcome) {
   core::StoreReply reply;
   reply.outcome = outcome;
