--- a/src/core/backend_candidates.cc
+++ b/src/core/backend_candidates.cc
@@ -119,7 +119,7 @@
   return key != keys_.end() && hasVanished(entries_.at(key->second), since);
 }
 
-std::vector<PlacementCandidate> BackendRegistry::lapsedSince(ServiceId service, Time since) {
+std::vector<PlacementCandidate> BackendRegistry::expiredSince(ServiceId service, Time since) {
   std::vector<PlacementCandidate> vanished = vanishedSince(service, since);
   const std::size_t all = vanished.size() + candidates(service).size();
   const bool isMany = vanished.size() > 1 && vanished.size() * kBackendsPerLapse > all;
--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -312,28 +312,28 @@
   unlink(key, entry);
 }
 
-void BackendRegistry::forgetDeparted(Time now) {
+void BackendRegistry::discardDeparted(Time now) {
   const std::vector<std::string> over = evacuations_.ExpireLost(now);
   expired_.insert(expired_.end(), over.begin(), over.end());
   clearCandidatesIf(!over.empty());
   const std::size_t before = entries_.size() + unknownRemovals_.size();
   for (auto item = entries_.begin(); item != entries_.end();) {
     const Entry& entry = item->second;
-    if (entry.present || now - entry.removedAt < keepDeparted_) {
+    if (entry.present || now - entry.removedAt < retention_) {
       ++item;
       continue;
     }
-    forgottenRevision_ = std::max(forgottenRevision_, entry.revision);
+    discardedRevision_ = std::max(discardedRevision_, entry.revision);
     forget(item->first, entry);
     item = entries_.erase(item);
   }
   std::erase_if(unknownRemovals_, [this, now](const auto& item) {
-    const bool isOld = now - item.second.at >= keepDeparted_;
-    forgottenRevision_ = std::max(forgottenRevision_, isOld ? item.second.revision : 0);
+    const bool isOld = now - item.second.at >= retention_;
+    discardedRevision_ = std::max(discardedRevision_, isOld ? item.second.revision : 0);
     return isOld;
   });
   for (auto& [service, list] : departures_) {
-    while (!list.empty() && now - list.front().first >= keepDeparted_) {
+    while (!list.empty() && now - list.front().first >= retention_) {
       list.pop_front();
     }
   }
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -49,12 +49,12 @@
 
 class BackendRegistry {
  public:
-  /// @param keepDeparted how long a removed backend stays reachable by token.
+  /// @param retention how long a removed backend stays reachable by token.
   /// @param weights must outlive the registry.
   /// @param reach encodes addresses in tokens and is informed of their ports; must outlive the
   /// registry. Null: tokens are hashes.
-  BackendRegistry(Duration keepDeparted, PlacementWeights& weights, TokenReach* reach = nullptr)
-      : keepDeparted_(keepDeparted), weights_(weights), tokens_(reach) {}
+  BackendRegistry(Duration retention, PlacementWeights& weights, TokenReach* reach = nullptr)
+      : retention_(retention), weights_(weights), tokens_(reach) {}
 
   /// Sets the region of each zone.
   void setRegions(const std::map<std::string, std::string>& regionsOfZones);
@@ -137,12 +137,12 @@
 
   /// @return the same if they are more than one in kBackendsPerLapse of the service, else none: so
   /// many at once indicate expired registrations rather than failed backends.
-  std::vector<PlacementCandidate> lapsedSince(ServiceId service, Time since);
+  std::vector<PlacementCandidate> expiredSince(ServiceId service, Time since);
   /// @return true if the backend was removed after `since` without announcing its shutdown.
   bool hasVanishedSince(BackendId id, Time since) const;
 
   /// Discards removed backends and lost evacuations after their retention time.
-  void forgetDeparted(Time now);
+  void discardDeparted(Time now);
 
   /// @return every registration whose item is in the store.
   std::vector<StoreChange> contents() const;
@@ -154,7 +154,7 @@
   /// evacuations().
   std::uint64_t generation() const { return generation_; }
   /// @return the newest revision of a discarded removal; views that are older may lack it.
-  Revision forgottenRevision() const { return forgottenRevision_; }
+  Revision discardedRevision() const { return discardedRevision_; }
   std::size_t size() const { return entries_.size(); }
   /// @return the number of backends that may get new flows. Iterates over all backends.
   std::size_t activeCount() const;
@@ -205,11 +205,11 @@
   void refreshCandidate(const Entry& entry);
   void forget(const std::string& key, const Entry& entry);
 
-  Duration keepDeparted_;
+  Duration retention_;
   PlacementWeights& weights_;
   std::map<std::string, Entry> entries_;  ///< By key.
   std::map<std::string, UnknownRemoval> unknownRemovals_;
-  Revision forgottenRevision_ = 0;
+  Revision discardedRevision_ = 0;
   std::uint64_t generation_ = 0;
   TokenIndex tokens_;
   std::unordered_map<BackendId, std::string> keys_;
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -72,7 +72,7 @@
   // Of all regions: routes that allow different ones share the figures.
   this->In.Spill.Update(registered, now);
   Candidates all =
-    this->In.Backends.lapsedSince(service, now - kVanishedFallback);
+    this->In.Backends.expiredSince(service, now - kVanishedFallback);
   if (all.empty()) {
     return this->ChooseAllowed(registered, route, avoided, now);
   }
@@ -221,7 +221,7 @@
     this->In.Answers.GetSlowness(candidate.id, candidate.service, now);
   const double factor = std::max(warmUp, slowness);
   const double bears =
-    isWarming ? this->In.Routes.coldOpenings(candidate.service) : 0;
+    isWarming ? this->In.Routes.warmUpRateLimit(candidate.service) : 0;
   Rated rated;
   rated.Id = candidate.id;
   rated.Service = candidate.service;
--- a/src/core/registration.h
+++ b/src/core/registration.h
@@ -71,7 +71,7 @@
   std::chrono::milliseconds warmUp{0};  ///< Warm-up time of a backend after its start.
   /// Connection attempts per second that a backend accepts from the whole fleet while warming up;
   /// zero: unlimited.
-  double coldOpenings = 0;
+  double warmUpRateLimit = 0;
 
   bool operator==(const ServiceTraits&) const = default;
 };
--- a/src/core/relay/view_difference.cc
+++ b/src/core/relay/view_difference.cc
@@ -73,7 +73,7 @@
                                                    Revision complete)
 {
   std::optional<std::vector<StoreChange>> routes = this->GetRoutesSince(have);
-  if (have < this->Backends.forgottenRevision() || !routes) {
+  if (have < this->Backends.discardedRevision() || !routes) {
     return std::nullopt;
   }
   this->Order(have);
--- a/src/core/relay/view_fill.cc
+++ b/src/core/relay/view_fill.cc
@@ -145,7 +145,7 @@
   if (hasPage) {
     this->Give(request, page, now);
   } else {
-    page.whole.assign(this->Whole.begin(), this->Whole.end());
+    page.fullViewPeers.assign(this->Whole.begin(), this->Whole.end());
     ++this->Counters.Refused;
   }
   this->Outgoing.push_back({ request.replyTo, std::move(page) });
@@ -198,7 +198,7 @@
 
 bool ViewFill::OnPage(const ViewPage& page, Time now)
 {
-  for (const Endpoint& peer : page.whole) {
+  for (const Endpoint& peer : page.fullViewPeers) {
     this->NoteWhole(peer);
   }
   if (page.revision == 0) {
--- a/src/core/route_table.cc
+++ b/src/core/route_table.cc
@@ -68,11 +68,11 @@
   }
   for (const Route& route : delta.changed) {
     put(route);
-    dropped_.erase(route.endpoint);
+    removed_.erase(route.endpoint);
   }
   for (const Endpoint& endpoint : delta.dropped) {
     routes_.erase(endpoint);
-    dropped_.emplace(endpoint, now);
+    removed_.emplace(endpoint, now);
   }
   version_ = delta.version;
   idleTimeout_ = delta.idleTimeout;
@@ -134,17 +134,17 @@
 
 void RouteTable::setServices(const std::vector<ServiceTraits>& services) {
   services_ = services;
-  coldOpenings_.clear();
+  warmUpRateLimits_.clear();
   for (const ServiceTraits& service : services) {
-    if (service.coldOpenings > 0) {
-      coldOpenings_[serviceIdOf(service.name)] = service.coldOpenings;
+    if (service.warmUpRateLimit > 0) {
+      warmUpRateLimits_[serviceIdOf(service.name)] = service.warmUpRateLimit;
     }
   }
 }
 
-double RouteTable::coldOpenings(ServiceId service) const {
-  const auto found = coldOpenings_.find(service);
-  return found == coldOpenings_.end() ? 0 : found->second;
+double RouteTable::warmUpRateLimit(ServiceId service) const {
+  const auto found = warmUpRateLimits_.find(service);
+  return found == warmUpRateLimits_.end() ? 0 : found->second;
 }
 
 RouteEntry* RouteTable::find(const Endpoint& endpoint) {
@@ -161,8 +161,8 @@
   return list;
 }
 
-void RouteTable::forgetDropped(Time now, Duration retention) {
-  std::erase_if(dropped_,
+void RouteTable::discardRemoved(Time now, Duration retention) {
+  std::erase_if(removed_,
                 [now, retention](const auto& item) { return now - item.second >= retention; });
 }
 
--- a/src/core/route_table.h
+++ b/src/core/route_table.h
@@ -69,10 +69,10 @@
   /// @return the route of an address, or null.
   RouteEntry* find(const Endpoint& endpoint);
   /// @return true if a version removed this route and none has restored it.
-  bool wasRemoved(const Endpoint& endpoint) const { return dropped_.contains(endpoint); }
+  bool wasRemoved(const Endpoint& endpoint) const { return removed_.contains(endpoint); }
 
   /// Discards removed routes that no flow can belong to any more.
-  void forgetDropped(Time now, Duration retention);
+  void discardRemoved(Time now, Duration retention);
 
   /// @return every route in effect.
   std::vector<Route> routes() const;
@@ -84,7 +84,7 @@
   const std::vector<ServiceTraits>& services() const { return services_; }
   /// @return connection attempts per second that a warming-up backend of the service accepts; zero:
   /// unlimited.
-  double coldOpenings(ServiceId service) const;
+  double warmUpRateLimit(ServiceId service) const;
 
  private:
   void put(const Route& route);
@@ -101,9 +101,9 @@
   Revision deltasFrom_ = 0;  ///< Revision that the oldest recent delta applies to.
   std::chrono::milliseconds idleTimeout_{0};
   std::vector<ServiceTraits> services_;
-  std::unordered_map<ServiceId, double> coldOpenings_;  ///< Of services with a limit.
+  std::unordered_map<ServiceId, double> warmUpRateLimits_;  ///< Of services with a limit.
   std::unordered_map<Endpoint, RouteEntry, EndpointHash> routes_;
-  std::unordered_map<Endpoint, Time, EndpointHash> dropped_;
+  std::unordered_map<Endpoint, Time, EndpointHash> removed_;
 };
 
 }  // namespace cobaltgauge::core
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -281,8 +281,8 @@
     admission_->Expire(now);
   }
   resetFlowsOfEnded();
-  backends_.forgetDeparted(now);
-  routes_.forgetDropped(now, options_.longestFlow);
+  backends_.discardDeparted(now);
+  routes_.discardRemoved(now, options_.longestFlow);
 }
 
 }  // namespace cobaltgauge::core
--- a/src/core/view_conversion.cc
+++ b/src/core/view_conversion.cc
@@ -62,11 +62,11 @@
 }
 
 ViewService toMessage(const ServiceTraits& service) {
-  return {service.name, toMilliseconds(service.warmUp), service.coldOpenings};
+  return {service.name, toMilliseconds(service.warmUp), service.warmUpRateLimit};
 }
 
 ServiceTraits toTraits(const ViewService& message) {
-  return {message.name, std::chrono::milliseconds(message.warmUpMs), message.coldOpenings};
+  return {message.name, std::chrono::milliseconds(message.warmUpMs), message.warmUpRateLimit};
 }
 
 std::optional<Route> toRoute(const ViewRoute& message) {
--- a/src/core/view_exchange.cc
+++ b/src/core/view_exchange.cc
@@ -87,7 +87,7 @@
 
 void ViewExchange::onRequest(const ViewRequest& request, Time now) {
   addPeer(request.replyTo);
-  if (request.wanted) {
+  if (request.viewRequested) {
     ++counters_.requestsAnswered;
     outgoing_.push_back({request.replyTo, makeTransfer(request, now)});
   }
--- a/src/core/view_messages.h
+++ b/src/core/view_messages.h
@@ -14,9 +14,9 @@
 
 /// Requests a daemon's view.
 struct ViewRequest {
-  Endpoint replyTo;     ///< Address on which the sender receives peer messages.
-  Revision have = 0;    ///< The sender's revision; only a newer view is requested.
-  bool wanted = false;  ///< False: the sender only announces itself.
+  Endpoint replyTo;            ///< Address on which the sender receives peer messages.
+  Revision have = 0;           ///< The sender's revision; only a newer view is requested.
+  bool viewRequested = false;  ///< False: the sender only announces itself.
 };
 
 /// One backend of a view.
@@ -52,7 +52,7 @@
 struct ViewService {
   std::string name;
   std::uint32_t warmUpMs = 0;
-  double coldOpenings = 0;
+  double warmUpRateLimit = 0;
 };
 
 /// A zone that operators have evacuated.
@@ -89,7 +89,7 @@
   Revision revision = 0;  ///< Complete up to this revision; zero: no page available now.
   bool isLast = false;    ///< No further backend follows.
   std::vector<ViewBackend> backends;
-  std::vector<Endpoint> whole;  ///< Daemons to which the sender sent the last page.
+  std::vector<Endpoint> fullViewPeers;  ///< Daemons to which the sender sent the last page.
 };
 
 /// An item that was removed from the store.
--- a/src/net/peer_fields.h
+++ b/src/net/peer_fields.h
@@ -82,7 +82,7 @@
 }
 auto fieldsOf(IsMessage<core::ListingRequest> auto& m) { return std::tie(m.shards); }
 auto fieldsOf(IsMessage<core::ViewRequest> auto& m) {
-  return std::tie(m.replyTo, m.have, m.wanted);
+  return std::tie(m.replyTo, m.have, m.viewRequested);
 }
 auto fieldsOf(IsMessage<PackedBackend> auto& m) {
   return std::tie(m.keyEnd, m.id, m.erasAboveLowest, m.aboveLowest, m.address, m.port, m.service,
@@ -97,7 +97,7 @@
                   m.priority, m.allowedRegions);
 }
 auto fieldsOf(IsMessage<core::ViewService> auto& m) {
-  return std::tie(m.name, m.warmUpMs, m.coldOpenings);
+  return std::tie(m.name, m.warmUpMs, m.warmUpRateLimit);
 }
 auto fieldsOf(IsMessage<core::ViewTransfer> auto& m) {
   return std::tie(m.revision, m.ageMs, m.version, m.idleTimeoutMs, m.routes, m.backends, m.peers,
@@ -107,7 +107,7 @@
   return std::tie(m.replyTo, m.afterKey, m.atLeast);
 }
 auto fieldsOf(IsMessage<core::ViewPage> auto& m) {
-  return std::tie(m.sender, m.afterKey, m.revision, m.isLast, m.backends, m.whole);
+  return std::tie(m.sender, m.afterKey, m.revision, m.isLast, m.backends, m.fullViewPeers);
 }
 auto fieldsOf(IsMessage<core::ViewRemoval> auto& m) { return std::tie(m.key, m.revision); }
 auto fieldsOf(IsMessage<core::ViewEvacuation> auto& m) {
--- a/tests/core/backend_registry_test.cc
+++ b/tests/core/backend_registry_test.cc
@@ -200,9 +200,9 @@
 BOOST_AUTO_TEST_CASE(removed_backends_are_forgotten_after_retention) {
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 1, now);
   registry.remove("servers/1", 2, now);
-  registry.forgetDeparted(now + 59s);
+  registry.discardDeparted(now + 59s);
   BOOST_TEST(registry.size() == 1U);
-  registry.forgetDeparted(now + 60s);
+  registry.discardDeparted(now + 60s);
   BOOST_TEST(registry.size() == 0U);
 }
 
--- a/tests/core/relay/store_era_stateful_test.cc
+++ b/tests/core/relay/store_era_stateful_test.cc
@@ -339,7 +339,7 @@
       this->Step();
       for (auto& node : this->Nodes) {
         if (node->Alive) {
-          node->Backends.forgetDeparted(node->Clock(this->Now));
+          node->Backends.discardDeparted(node->Clock(this->Now));
         }
       }
     }
--- a/tests/core/relay/view_fill_test.cc
+++ b/tests/core/relay/view_fill_test.cc
@@ -217,9 +217,9 @@
   BOOST_TEST(std::get<core::ViewPage>(messages.at(0).Message).revision != 0U);
   const auto& refusal = std::get<core::ViewPage>(messages.at(1).Message);
   BOOST_TEST(refusal.revision == 0U);
-  BOOST_TEST((std::find(refusal.whole.begin(),
-                        refusal.whole.end(),
-                        this->At(10).Address) != refusal.whole.end()));
+  BOOST_TEST((std::find(refusal.fullViewPeers.begin(),
+                        refusal.fullViewPeers.end(),
+                        this->At(10).Address) != refusal.fullViewPeers.end()));
 }
 
 // Pages between zones cost; 300 daemons filled each from anywhere.
@@ -240,9 +240,10 @@
     const auto messages = giver.Fill.TakeMessages();
     const auto& page = std::get<core::ViewPage>(messages.at(0).Message);
     given += page.revision != 0 ? 1 : 0;
-    BOOST_TEST((page.revision != 0 ||
-                std::find(page.whole.begin(), page.whole.end(), near) !=
-                  page.whole.end()));
+    BOOST_TEST(
+      (page.revision != 0 ||
+       std::find(page.fullViewPeers.begin(), page.fullViewPeers.end(), near) !=
+         page.fullViewPeers.end()));
   }
   // The near one may be dead: some are served all the same.
   BOOST_TEST(given > 5U);
@@ -272,7 +273,7 @@
   BOOST_REQUIRE(!node.Reader.hasAllBackends());
   core::ViewPage refusal;
   refusal.sender = this->At(0).Address;
-  refusal.whole = { node.Address };
+  refusal.fullViewPeers = { node.Address };
   this->Now += 1s;
   this->FillView(node, { this->At(0).Address });
   node.Fill.TakeMessages();
--- a/tests/platform/store_items_test.cc
+++ b/tests/platform/store_items_test.cc
@@ -159,8 +159,8 @@
   BOOST_TEST(route.priority == 2U);
   BOOST_TEST(route.allowedRegions.at(0) == "north");
   BOOST_TEST(set.services.at(0).warmUp.count() == 2500);
-  BOOST_TEST(set.services.at(0).coldOpenings == 4.0);
-  BOOST_TEST(set.services.at(1).coldOpenings == 0.0);
+  BOOST_TEST(set.services.at(0).warmUpRateLimit == 4.0);
+  BOOST_TEST(set.services.at(1).warmUpRateLimit == 0.0);
 }
 
 BOOST_AUTO_TEST_CASE(an_evacuation_names_its_zone_in_its_key) {
