--- a/src/core/backend_health.cc
+++ b/src/core/backend_health.cc
@@ -84,7 +84,7 @@
   const bool respondedMeanwhile = record.unansweredSince == Time{} || !record.probeValid ||
                                   record.lastResponse >= record.probeStartedAt;
   if (result != ProbeResult::kTimedOut || respondedMeanwhile) {
-    counters_.unproven += result == ProbeResult::kUnproven ? 1U : 0U;
+    counters_.unproven += result == ProbeResult::kInconclusive ? 1U : 0U;
     return false;
   }
   record.confirmedDeadAt = now;
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -17,8 +17,8 @@
 
 #include "core/placement/candidate_list.h"
 #include "core/placement_weights.h"
-#include "core/reach/token_index.h"
 #include "core/registration.h"
+#include "core/tokens/token_index.h"
 #include "core/types.h"
 #include "core/zones/zone_evacuations.h"
 
@@ -53,7 +53,7 @@
   /// @param weights must outlive the registry.
   /// @param reach encodes addresses in tokens and is informed of their ports; must outlive the
   /// registry. Null: tokens are hashes.
-  BackendRegistry(Duration retention, PlacementWeights& weights, TokenReach* reach = nullptr)
+  BackendRegistry(Duration retention, PlacementWeights& weights, TokenResolver* reach = nullptr)
       : retention_(retention), weights_(weights), tokens_(reach) {}
 
   /// Sets the region of each zone.
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -7,18 +7,19 @@
 
 #include "core/constants.h"
 #include "core/hashing.h"
-#include "core/proof/witnesses.h"
+#include "core/probe/witness_selection.h"
 
 namespace cobaltgauge::core {
 namespace {
 
 constexpr Duration kMaintenanceInterval = 1s;
 
-std::unique_ptr<TokenReach> makeReach(const TokenSteeringOptions& options) {
+std::unique_ptr<TokenResolver> makeReach(const TokenSteeringOptions& options) {
   if (!options.localAddress) {
     return nullptr;
   }
-  return std::make_unique<TokenReach>(AddressTokenCodec(*options.localAddress, options.hashSeed));
+  return std::make_unique<TokenResolver>(
+      AddressTokenCodec(*options.localAddress, options.hashSeed));
 }
 
 }  // namespace
@@ -115,7 +116,7 @@
   health_.onAnswer(flow.backend, now);
   recordDomainResponse(flow.backend, now);
   if (outliers_ != nullptr && !flow.dataAcknowledged) {
-    outliers_->OnAnswered();
+    outliers_->OnResponse();
   }
   if (latencyObserver_ != nullptr && !flow.responded && flow.openedAt != Time{}) {
     latencyObserver_->onOpeningResponse(now - flow.openedAt);
@@ -123,7 +124,7 @@
     latencyObserver_->onDataAcknowledged(now - flow.dataSentAt);
   }
   if (!flow.dataAcknowledged) {
-    answerTimes_.OnAnswer(backend.id, backend.service, now - flow.dataSentAt, now);
+    answerTimes_.OnResponse(backend.id, backend.service, now - flow.dataSentAt, now);
   }
   if (load_ != nullptr && (!flow.responded || !flow.dataAcknowledged)) {
     load_->OnResponse(flow.fingerprint, now);
@@ -154,7 +155,7 @@
     }
     // Earlier data of a flow that was opened at another daemon is unknown.
     if (outliers_ != nullptr && flow.openedAt != Time{}) {
-      deadlines_.Expect(flow.fingerprint, flow.dataEnd, now);
+      deadlines_.Add(flow.fingerprint, flow.dataEnd, now);
     }
   } else {
     health_.onRetransmittedData(flow.backend, flow.dataSentAt, now);
@@ -170,12 +171,12 @@
 }
 
 void TokenSteering::reportLateResponses(Time now) {
-  for (const AnswerDeadlines::Expected& expected : deadlines_.TakeDue(now)) {
+  for (const ResponseDeadlines::PendingResponse& expected : deadlines_.TakeDue(now)) {
     const TokenFlow* flow = flows_.find(expected.Flow);
     const bool isLate = flow != nullptr && !flow->closed && !flow->dataAcknowledged &&
                         flow->dataEnd == expected.DataEnd;
     if (isLate) {
-      outliers_->OnLate(flow->backend);
+      outliers_->OnLateResponse(flow->backend);
     }
   }
 }
@@ -207,19 +208,20 @@
 }
 
 std::vector<Endpoint> TokenSteering::witnessesFor(BackendId suspect, Time now) {
-  return ChooseWitnesses(suspect, health_, backends_, random_, now);
+  return SelectWitnesses(suspect, health_, backends_, random_, now);
 }
 
 void TokenSteering::onProbe(BackendId backend, ProbeResult result, Time now) {
   // An inconclusive timeout still counts for the group of the backend.
-  onGroupProbe(backend, result == ProbeResult::kUnproven ? ProbeResult::kTimedOut : result, now);
+  onGroupProbe(backend, result == ProbeResult::kInconclusive ? ProbeResult::kTimedOut : result,
+               now);
   if (!serving_.IsServing() && result != ProbeResult::kConnected) {
     health_.onProbe(backend, ProbeResult::kRefused, now);
     return;
   }
   if (health_.onProbe(backend, result, now)) {
     if (outliers_ != nullptr) {
-      outliers_->OnLate(backend);
+      outliers_->OnLateResponse(backend);
     }
     if (options_.resetDeadFlows) {
       resetFlowsOf(backend, RefuseReason::kBackendDead);
@@ -255,9 +257,9 @@
 void TokenSteering::discardRestartedBackends() {
   for (const BackendId id : backends_.takeRestarted()) {
     health_.remove(id);
-    answerTimes_.Forget(id);
+    answerTimes_.Remove(id);
     if (outliers_ != nullptr) {
-      outliers_->Forget(id);
+      outliers_->Remove(id);
     }
     discardFlowsOf(id);
   }
--- a/tests/core/backend_health_test.cc
+++ b/tests/core/backend_health_test.cc
@@ -108,7 +108,7 @@
   health.onOpening(kBackendA, now);
   now += 200ms;
   health.takeProbes(kBackendCount, now);
-  BOOST_TEST(!health.onProbe(kBackendA, ProbeResult::kUnproven, now));
+  BOOST_TEST(!health.onProbe(kBackendA, ProbeResult::kInconclusive, now));
   BOOST_TEST(!health.isDead(kBackendA));
   BOOST_TEST(health.isSuspected(kBackendA, now));
   BOOST_TEST(health.counters().unproven == 1U);
@@ -122,7 +122,7 @@
   const core::Time confirmedAt = now;
   now += core::kProbeRetryInterval;
   health.takeProbes(kBackendCount, now);
-  health.onProbe(kBackendA, ProbeResult::kUnproven, now);
+  health.onProbe(kBackendA, ProbeResult::kInconclusive, now);
   health.expire(confirmedAt + core::kDeadStateTtl - 1ms);
   BOOST_TEST(health.isDead(kBackendA));
   health.expire(confirmedAt + core::kDeadStateTtl);
--- a/tests/core/proof/living_flows_property_test.cc
+++ b/tests/core/probe/healthy_flows_property_test.cc
@@ -10,39 +10,39 @@
 using core::BackendId;
 using core::ProbeResult;
 
-/// Back ends that live and answer every connection, under a daemon that loses
-/// packets, stands still, and has a view that lapses and comes back late.
-struct LivingFleet : TokenFixture
+/// Healthy backends behind a daemon with lost packets, suspensions, expired
+/// registrations and late registration updates.
+struct HealthyBackends : TokenFixture
 {
   static constexpr std::uint64_t kBackends = 3;
   static constexpr std::uint16_t kFlows = 6;
-  std::vector<BackendId> Flows; ///< Their back ends, by port.
-  std::uint32_t Sent = 0;
+  std::vector<BackendId> BackendByPort; ///< Of each flow.
+  std::uint32_t Sequence = 0;
 
-  LivingFleet()
+  HealthyBackends()
   {
     for (std::uint16_t port = 0; port < kFlows; ++port) {
       this->now += core::kOpeningPacingInterval;
-      this->Flows.push_back(this->establishFlow(port));
+      this->BackendByPort.push_back(this->establishFlow(port));
     }
   }
 
-  void Act()
+  void PerformRandomAction()
   {
     const int action = *rc::gen::inRange(0, 9);
     const auto port = *rc::gen::inRange<std::uint16_t>(0, kFlows);
     const auto id = *rc::gen::inRange<std::uint64_t>(1, kBackends + 1);
     this->now += std::chrono::milliseconds(*rc::gen::inRange(0, 2'000));
     switch (action) {
-      case 0: // Data whose answer is lost, or that was sent before.
-        this->Sent += *rc::gen::inRange<std::uint32_t>(0, 2) * 10;
-        this->Pass(port, 1);
+      case 0: // Data whose response is lost, or a retransmission.
+        this->Sequence += *rc::gen::inRange<std::uint32_t>(0, 2) * 10;
+        this->SendData(port, 1);
         break;
       case 1:
-        this->Pass(port, this->now.count());
+        this->SendData(port, this->now.count());
         break;
-      case 2: // An opening that nobody answers.
-        this->open(static_cast<std::uint16_t>(1'000 + this->Sent++));
+      case 2: // An unanswered opening.
+        this->open(static_cast<std::uint16_t>(1'000 + this->Sequence++));
         break;
       case 3:
         this->Probe();
@@ -54,7 +54,7 @@
         this->steering.onResume();
         this->steering.onQueueDrained();
         break;
-      case 6: // The registration lapses.
+      case 6: // The registration expires.
         this->steering.backends().remove(
           keyOf(id), ++this->revision, this->now);
         break;
@@ -62,10 +62,10 @@
         this->putBackend(id, this->RegistrationOf(id));
         this->steering.onViewChanged();
         break;
-      default: // A late word of the one that was at the address before.
+      default: // A late update of the previous backend at the address.
         this->steering.backends().put("servers/before-" + std::to_string(id),
                                       this->RegistrationOf(id + kBackends),
-                                      this->Early(id),
+                                      this->GetLateRevision(id),
                                       this->now);
         this->steering.onViewChanged();
         break;
@@ -78,9 +78,9 @@
     return makeRegistration(id, "web", 1, host);
   }
 
-  /// \return a revision of one that came before: it is known already, and
-  /// only its last word is late.
-  core::Revision Early(std::uint64_t id)
+  /// Get the revision of a late update of the previous backend: the oldest one
+  /// if the daemon does not know that backend yet.
+  core::Revision GetLateRevision(std::uint64_t id)
   {
     core::BackendRegistry& backends = this->steering.backends();
     const bool isKnown =
@@ -88,49 +88,50 @@
     return isKnown ? ++this->revision : 0;
   }
 
-  /// Tell the living ones from those that were at their addresses before.
-  static bool Lives(BackendId id)
+  /// Check that a backend is not a previous one at the same address.
+  static bool IsHealthy(BackendId id)
   {
     return static_cast<std::uint64_t>(id) <= kBackends;
   }
 
-  void Pass(std::uint16_t port, std::int64_t acknowledgement)
+  void SendData(std::uint16_t port, std::int64_t acknowledgement)
   {
-    const BackendId backend = this->Flows[port];
+    const BackendId backend = this->BackendByPort[port];
     const core::Verdict verdict =
       this->send(port,
                  backend,
                  static_cast<std::uint32_t>(acknowledgement),
                  10,
-                 this->Sent);
-    // It may be dropped, where the view has forgotten the back end.
+                 this->Sequence);
+    // The packet may be dropped if the backend is no longer in the view.
     RC_ASSERT(!refuseReasonOf(verdict).has_value());
   }
 
-  /// What a trial says of a back end that answers: see DeathTrial's property.
+  /// Probe with the results that are possible for a healthy backend; see
+  /// FailureProbePropertyTest.
   void Probe()
   {
     for (const core::BackendAddress& probed :
          this->steering.takeProbes(this->now)) {
       const auto result = *rc::gen::element(ProbeResult::kConnected,
                                             ProbeResult::kRefused,
-                                            ProbeResult::kUnproven);
+                                            ProbeResult::kInconclusive);
       this->steering.onProbe(probed.id, result, this->now);
     }
   }
 };
 
-BOOST_AUTO_TEST_SUITE(LivingFlowsPropertyTest)
+BOOST_AUTO_TEST_SUITE(HealthyFlowsPropertyTest)
 
-BOOST_AUTO_TEST_CASE(no_flow_of_a_living_back_end_is_reset)
+BOOST_AUTO_TEST_CASE(no_flow_of_a_healthy_backend_is_reset)
 {
-  BOOST_TEST(rc::check("flows of living back ends pass", [] {
-    LivingFleet fleet;
+  BOOST_TEST(rc::check("flows of healthy backends are not reset", [] {
+    HealthyBackends fixture;
     const int actions = *rc::gen::inRange(1, 60);
     for (int i = 0; i < actions; ++i) {
-      fleet.Act();
-      for (const core::FlowReset& reset : fleet.steering.takeResets()) {
-        RC_ASSERT(!LivingFleet::Lives(reset.backend));
+      fixture.PerformRandomAction();
+      for (const core::FlowReset& reset : fixture.steering.takeResets()) {
+        RC_ASSERT(!HealthyBackends::IsHealthy(reset.backend));
       }
     }
   }));
--- a/tests/core/restarted_backends_test.cc
+++ b/tests/core/restarted_backends_test.cc
@@ -76,7 +76,7 @@
 
 BOOST_AUTO_TEST_CASE(restart_clears_outlier_state) {
   putBackend(1, incarnation(1000));
-  outliers.Adopt({BackendId{1}}, now);
+  outliers.SetOutliers({BackendId{1}}, now);
   putBackend(1, incarnation(2000));
   steering.onViewChanged();
   BOOST_TEST(!outliers.IsOutlier(BackendId{1}));
--- a/tests/core/token_steering_test.cc
+++ b/tests/core/token_steering_test.cc
@@ -95,7 +95,7 @@
   now += 200ms;
   send(1, backend, 1, 100);
   BOOST_REQUIRE(steering.takeProbes(now).size() == 1U);
-  steering.onProbe(backend, ProbeResult::kUnproven, now);
+  steering.onProbe(backend, ProbeResult::kInconclusive, now);
   BOOST_TEST(steering.takeResets().empty());
   BOOST_TEST((backendOf(send(1, backend, 1, 100)) == backend));
 }
@@ -176,12 +176,12 @@
   send(2, unresponsive, 1, 10);
   now += core::kLateResponseThreshold - 1ms;
   steering.onTick(now);
-  BOOST_TEST(outliers.GetCounters().LateAnswers == 0U);
+  BOOST_TEST(outliers.GetCounters().LateResponses == 0U);
   now += 2s;
   steering.onTick(now);
   now += 2s;
   steering.onTick(now);
-  BOOST_TEST(outliers.GetCounters().LateAnswers == 1U);
+  BOOST_TEST(outliers.GetCounters().LateResponses == 1U);
   const core::OutlierReport report = outliers.TakeReport();
   BOOST_REQUIRE(report.observations.size() == 1U);
   BOOST_TEST((report.observations[0].backend == unresponsive));
@@ -195,7 +195,7 @@
   now += 5s;
   steering.onResume();
   steering.onTick(now);
-  BOOST_TEST(outliers.GetCounters().LateAnswers == 0U);
+  BOOST_TEST(outliers.GetCounters().LateResponses == 0U);
 }
 
 // Without a report, every daemon has to lose connection attempts to detect a dead backend.
@@ -203,7 +203,7 @@
   core::OutlierDetector outliers(1);
   steering.setOutliers(&outliers);
   for (int i = 0; i < 10; ++i) {
-    outliers.OnAnswered();
+    outliers.OnResponse();
   }
   const BackendId backend = backendOf(open(1));
   now += core::kResponseTimeout + 1ms;
