--- a/src/daemon/backend_prober.cc
+++ b/src/daemon/backend_prober.cc
@@ -23,17 +23,17 @@
 
 }  // namespace
 
-struct BackendProber::Trial {
-  Trial(asio::io_context& context, const core::BackendAddress& suspect,
-        std::vector<core::Endpoint> others)
+struct BackendProber::ActiveProbe {
+  ActiveProbe(asio::io_context& context, const core::BackendAddress& suspect,
+              std::vector<core::Endpoint> witnessEndpoints)
       : backend(suspect),
-        witnesses(std::move(others)),
-        proof(witnesses.size(), bootTime()),
+        witnesses(std::move(witnessEndpoints)),
+        trial(witnesses.size(), bootTime()),
         timer(context) {}
 
   core::BackendAddress backend;
   std::vector<core::Endpoint> witnesses;
-  core::DeathTrial proof;
+  core::DeathTrial trial;
   asio::steady_timer timer;
   std::list<asio::ip::tcp::socket> sockets;
   bool finished = false;
@@ -41,43 +41,43 @@
 
 void BackendProber::probe(const core::BackendAddress& backend,
                           std::vector<core::Endpoint> witnesses) {
-  takeStep(std::make_shared<Trial>(context_, backend, std::move(witnesses)));
+  runStep(std::make_shared<ActiveProbe>(context_, backend, std::move(witnesses)));
 }
 
-void BackendProber::takeStep(const std::shared_ptr<Trial>& trial) {
-  const core::DeathTrial::Step step = trial->proof.TakeStep(bootTime());
-  const std::size_t number = trial->proof.GetStep();
+void BackendProber::runStep(const std::shared_ptr<ActiveProbe>& probe) {
+  const core::DeathTrial::Step step = probe->trial.TakeStep(bootTime());
+  const std::size_t stepNumber = probe->trial.GetStep();
   if (step.TriesSuspect) {
-    connect(trial, trial->backend.endpoint, [this, trial](core::ConnectOutcome outcome) {
-      trial->proof.OnSuspect(outcome);
-      finishIfDone(trial);
+    connect(probe, probe->backend.endpoint, [this, probe](core::ConnectOutcome outcome) {
+      probe->trial.OnSuspect(outcome);
+      finishIfDone(probe);
     });
   }
-  for (std::size_t i = 0; i < trial->witnesses.size() && i < step.AsksWitness.size(); ++i) {
+  for (std::size_t i = 0; i < probe->witnesses.size() && i < step.AsksWitness.size(); ++i) {
     if (step.AsksWitness[i]) {
-      connect(trial, trial->witnesses[i], [trial, i, number](core::ConnectOutcome outcome) {
-        trial->proof.OnWitness(i, number, outcome);
+      connect(probe, probe->witnesses[i], [probe, i, stepNumber](core::ConnectOutcome outcome) {
+        probe->trial.OnWitness(i, stepNumber, outcome);
       });
     }
   }
-  finishIfDone(trial);
-  if (trial->finished) {
+  finishIfDone(probe);
+  if (probe->finished) {
     return;
   }
-  trial->timer.expires_after(trial->proof.GetNextStep() - bootTime());
-  trial->timer.async_wait([this, trial](const asio::error_code& error) {
-    if (!error && !trial->finished) {
-      takeStep(trial);
+  probe->timer.expires_after(probe->trial.GetNextStep() - bootTime());
+  probe->timer.async_wait([this, probe](const asio::error_code& error) {
+    if (!error && !probe->finished) {
+      runStep(probe);
     }
   });
 }
 
-void BackendProber::connect(const std::shared_ptr<Trial>& trial, const core::Endpoint& endpoint,
-                            ConnectHandler handler) {
-  asio::ip::tcp::socket& socket = trial->sockets.emplace_back(context_);
-  socket.async_connect(net::toTcp(endpoint), [trial, &socket, handler = std::move(handler)](
+void BackendProber::connect(const std::shared_ptr<ActiveProbe>& probe,
+                            const core::Endpoint& endpoint, ConnectHandler handler) {
+  asio::ip::tcp::socket& socket = probe->sockets.emplace_back(context_);
+  socket.async_connect(net::toTcp(endpoint), [probe, &socket, handler = std::move(handler)](
                                                  const asio::error_code& error) {
-    if (trial->finished) {
+    if (probe->finished) {
       return;
     }
     asio::error_code ignored;
@@ -86,20 +86,20 @@
   });
 }
 
-void BackendProber::finishIfDone(const std::shared_ptr<Trial>& trial) {
-  const std::optional<core::ProbeResult> result = trial->proof.GetResult();
-  if (!result || std::exchange(trial->finished, true)) {
+void BackendProber::finishIfDone(const std::shared_ptr<ActiveProbe>& probe) {
+  const std::optional<core::ProbeResult> result = probe->trial.GetResult();
+  if (!result || std::exchange(probe->finished, true)) {
     return;
   }
-  trial->timer.cancel();
-  for (asio::ip::tcp::socket& socket : trial->sockets) {
+  probe->timer.cancel();
+  for (asio::ip::tcp::socket& socket : probe->sockets) {
     asio::error_code ignored;
     socket.close(ignored);
   }
   if (*result == core::ProbeResult::kUnproven) {
-    logUnproven(trial->backend, trial->proof.GetDoubt());
+    logInconclusiveProbe(probe->backend, probe->trial.GetDoubt());
   }
-  handler_(trial->backend, *result);
+  handler_(probe->backend, *result);
 }
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/backend_prober.h
+++ b/src/daemon/backend_prober.h
@@ -24,14 +24,14 @@
   void probe(const core::BackendAddress& backend, std::vector<core::Endpoint> witnesses);
 
  private:
-  struct Trial;
+  struct ActiveProbe;
   using ConnectHandler = std::function<void(core::ConnectOutcome)>;
 
-  void takeStep(const std::shared_ptr<Trial>& trial);
-  void connect(const std::shared_ptr<Trial>& trial, const core::Endpoint& endpoint,
+  void runStep(const std::shared_ptr<ActiveProbe>& probe);
+  void connect(const std::shared_ptr<ActiveProbe>& probe, const core::Endpoint& endpoint,
                ConnectHandler handler);
   /// Tells the result and ends the trial, once there is one.
-  void finishIfDone(const std::shared_ptr<Trial>& trial);
+  void finishIfDone(const std::shared_ptr<ActiveProbe>& probe);
 
   asio::io_context& context_;
   Handler handler_;
--- a/src/daemon/backend_probes.cc
+++ b/src/daemon/backend_probes.cc
@@ -14,18 +14,18 @@
       reader_(reader),
       prober_(context, [this](const core::BackendAddress& backend,
                               core::ProbeResult result) { onProbe(backend, result); }),
-      reachProber_(context, core::kReadinessProbeTimeout,
-                   [this](const core::BackendAddress& backend, core::ProbeResult result) {
-                     steering_.onReachabilityProbe(backend.id, result, bootTime());
-                     carryOutDomains(bootTime());
-                   }),
+      reachabilityProber_(context, core::kReadinessProbeTimeout,
+                          [this](const core::BackendAddress& backend, core::ProbeResult result) {
+                            steering_.onReachabilityProbe(backend.id, result, bootTime());
+                            executePendingForDomains(bootTime());
+                          }),
       groupProber_(context, core::kGroupProbeTimeout,
                    [this](const core::BackendAddress& backend, core::ProbeResult result) {
                      steering_.onGroupProbe(backend.id, result, bootTime());
-                     carryOutDomains(bootTime());
+                     executePendingForDomains(bootTime());
                    }) {}
 
-void BackendProbes::carryOut(core::Time now) {
+void BackendProbes::executePending(core::Time now) {
   for (const core::BackendAddress& backend : steering_.takeProbes(now)) {
     prober_.probe(backend, steering_.witnessesFor(backend.id, now));
   }
@@ -33,22 +33,22 @@
     packets_.refuse(reset.flow, reset.acknowledgement);
     logReset(reset, reader_.revision());
   }
-  carryOutDomains(now);
+  executePendingForDomains(now);
 }
 
-void BackendProbes::carryOutDomains(core::Time now) {
+void BackendProbes::executePendingForDomains(core::Time now) {
   for (const core::BackendAddress& backend : steering_.takeReachabilityProbes(now)) {
-    reachProber_.probe(backend);
+    reachabilityProber_.probe(backend);
   }
   for (const core::BackendAddress& backend : steering_.takeGroupProbes(now)) {
     groupProber_.probe(backend);
   }
-  const core::UnreachableGroupsNotice found{steering_.silentGroups().TakeDetected()};
-  for (const core::BackendGroup& group : found.Groups) {
-    logSilentGroup(group, steering_.silentGroups().CountUnreachable(now), steering_.backends(),
-                   reader_.revision());
+  const core::UnreachableGroupsNotice notice{steering_.silentGroups().TakeDetected()};
+  for (const core::BackendGroup& group : notice.Groups) {
+    logUnreachableGroup(group, steering_.silentGroups().CountUnreachable(now), steering_.backends(),
+                        reader_.revision());
   }
-  peers_.Tell(found);
+  peers_.SendNotice(notice);
   for (const core::ServingChange& change : steering_.serving().TakeChanges()) {
     logServingChange(change, reader_.revision());
   }
@@ -58,7 +58,7 @@
   const core::Time now = bootTime();
   logProbe(backend, result);
   steering_.onProbe(backend.id, result, now);
-  carryOut(now);
+  executePending(now);
 }
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/backend_probes.h
+++ b/src/daemon/backend_probes.h
@@ -23,9 +23,9 @@
 
   /// Starts the probes and sends the resets that the steering wants, of single back ends and of
   /// failure domains.
-  void carryOut(core::Time now);
+  void executePending(core::Time now);
   /// The same for failure domains alone.
-  void carryOutDomains(core::Time now);
+  void executePendingForDomains(core::Time now);
 
  private:
   void onProbe(const core::BackendAddress& backend, core::ProbeResult result);
@@ -35,7 +35,7 @@
   PeerLink& peers_;
   const core::StoreReader& reader_;
   BackendProber prober_;
-  ConnectProber reachProber_;
+  ConnectProber reachabilityProber_;
   ConnectProber groupProber_;
 };
 
--- a/src/daemon/connect_prober.cc
+++ b/src/daemon/connect_prober.cc
@@ -26,7 +26,7 @@
       handler_(backend, result);
     }
   };
-  attempt->timer.expires_after(patience_);
+  attempt->timer.expires_after(timeout_);
   attempt->timer.async_wait([finish](const asio::error_code& error) {
     if (!error) {
       finish(core::ProbeResult::kTimedOut);
--- a/src/daemon/connect_prober.h
+++ b/src/daemon/connect_prober.h
@@ -15,9 +15,9 @@
  public:
   using Handler = std::function<void(const core::BackendAddress&, core::ProbeResult)>;
 
-  /// @param patience how long a probe waits for a connection.
-  ConnectProber(asio::io_context& context, core::Duration patience, Handler handler)
-      : context_(context), patience_(patience), handler_(std::move(handler)) {}
+  /// @param timeout how long a probe waits for a connection.
+  ConnectProber(asio::io_context& context, core::Duration timeout, Handler handler)
+      : context_(context), timeout_(timeout), handler_(std::move(handler)) {}
 
   /// Starts a probe; the handler is called once with its result.
   void probe(const core::BackendAddress& backend);
@@ -26,7 +26,7 @@
   struct Attempt;
 
   asio::io_context& context_;
-  core::Duration patience_;
+  core::Duration timeout_;
   Handler handler_;
 };
 
--- a/src/daemon/load_page.cc
+++ b/src/daemon/load_page.cc
@@ -8,15 +8,16 @@
                      core::Time now) {
   nlohmann::json zones = nlohmann::json::array();
   for (const auto& [key, slots] : load.GetSlots()) {
-    const core::ZoneLoad known = load.GetLoad(key);
-    const std::optional<core::ZoneCapacity> room = load.GetZoneCapacity(key.first, key.second, now);
+    const core::ZoneLoad zoneLoad = load.GetLoad(key);
+    const std::optional<core::ZoneCapacity> capacity =
+        load.GetZoneCapacity(key.first, key.second, now);
     nlohmann::json zone{{"service", backends.nameOf(key.first)},
                         {"zone", backends.nameOf(key.second)},
-                        {"in_flight", known.InFlight},
+                        {"in_flight", zoneLoad.InFlight},
                         {"slots", slots},
-                        {"openings_in_second", known.OpeningsInSecond},
-                        {"rejected_in_second", known.RejectedInSecond}};
-    zone["utilization"] = room ? nlohmann::json(room->Utilization) : nlohmann::json();
+                        {"openings_in_second", zoneLoad.OpeningsInSecond},
+                        {"rejected_in_second", zoneLoad.RejectedInSecond}};
+    zone["utilization"] = capacity ? nlohmann::json(capacity->Utilization) : nlohmann::json();
     zones.push_back(std::move(zone));
   }
   const std::optional<core::Duration> age = load.GetAge(now);
--- a/src/daemon/packet_port.cc
+++ b/src/daemon/packet_port.cc
@@ -12,7 +12,7 @@
 constexpr int kBatchSize = 64;
 /// Some seconds of packets; waiting bytes count towards the process's memory.
 constexpr int kSocketBufferBytes = 1 << 20;
-constexpr std::size_t kLongestDatagram = 2048;
+constexpr std::size_t kMaxDatagramBytes = 2048;
 
 }  // namespace
 
@@ -21,7 +21,7 @@
     : format_(format),
       steering_(steering),
       socket_(context),
-      buffer_(format.prefixBytes() + kLongestDatagram) {}
+      buffer_(format.prefixBytes() + kMaxDatagramBytes) {}
 
 bool PacketPort::open(const core::Endpoint& endpoint) {
   local_ = endpoint;
@@ -64,7 +64,7 @@
     asio::ip::udp::endpoint sender;
     asio::error_code error;
     const std::size_t size = socket_.receive_from(
-        asio::buffer(buffer_.data() + prefix, kLongestDatagram), sender, 0, error);
+        asio::buffer(buffer_.data() + prefix, kMaxDatagramBytes), sender, 0, error);
     if (error) {
       if (onDrained_) {
         onDrained_(now);
@@ -91,14 +91,14 @@
   } else if (std::holds_alternative<core::Refuse>(verdict)) {
     refuse(summary->flow, summary->acknowledgement);
   }
-  keepIfUndecided(verdict, packet, arrivedAt);
+  queueIfViewIncomplete(verdict, packet, arrivedAt);
   if (onVerdict_) {
     onVerdict_(*summary, verdict, now);
   }
 }
 
-void PacketPort::keepIfUndecided(const core::Verdict& verdict, net::ByteView packet,
-                                 core::Time arrivedAt) {
+void PacketPort::queueIfViewIncomplete(const core::Verdict& verdict, net::ByteView packet,
+                                       core::Time arrivedAt) {
   const auto* drop = std::get_if<core::Drop>(&verdict);
   if (drop != nullptr && core::dependsOnView(drop->reason)) {
     pending_.add({packet.begin(), packet.end()}, arrivedAt);
@@ -109,11 +109,11 @@
   if (pending_.empty()) {
     return;
   }
-  for (PendingPackets::Packet& kept : pending_.take(now)) {
+  for (PendingPackets::Packet& pending : pending_.take(now)) {
     ++counters_.retried;
     std::vector<std::uint8_t> datagram(format_.prefixBytes());
-    datagram.insert(datagram.end(), kept.bytes.begin(), kept.bytes.end());
-    onPacket(datagram, kept.arrivedAt, now);
+    datagram.insert(datagram.end(), pending.bytes.begin(), pending.bytes.end());
+    onPacket(datagram, pending.arrivedAt, now);
   }
 }
 
--- a/src/daemon/packet_port.h
+++ b/src/daemon/packet_port.h
@@ -59,7 +59,8 @@
   void receiveBatch();
   /// @param arrivedAt earlier than `now` where the packet was kept.
   void onPacket(std::span<std::uint8_t> datagram, core::Time arrivedAt, core::Time now);
-  void keepIfUndecided(const core::Verdict& verdict, net::ByteView packet, core::Time arrivedAt);
+  void queueIfViewIncomplete(const core::Verdict& verdict, net::ByteView packet,
+                             core::Time arrivedAt);
   bool send(const core::Endpoint& destination, net::ByteView bytes);
 
   net::PacketFormat& format_;
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -19,7 +19,7 @@
                    Listener listener)
   : Self(settings.clusterListen)
   , View(view)
-  , OnHeard(std::move(listener))
+  , OnPeerEvent(std::move(listener))
   , Exchange(this->Self,
              view.Steering,
              view.Updater,
@@ -42,11 +42,11 @@
           view.Changes,
           this->Outliers,
           random)
-  , Fill(this->Self,
-         view.Reader,
-         view.Updater,
-         view.Steering.backends(),
-         random)
+  , Backfill(this->Self,
+             view.Reader,
+             view.Updater,
+             view.Steering.backends(),
+             random)
   , Peers(
       context,
       net::PeerCodec(settings.clusterName,
@@ -81,22 +81,22 @@
 {
   this->Exchange.onTick(now);
   this->Relay.OnTick(this->Exchange.peers(), now);
-  this->FillView(now);
+  this->BackfillView(now);
   this->LogUpstream(now);
   this->LogOutliers();
   this->LogLoad();
   this->Send();
-  this->OnHeard(now, false);
+  this->OnPeerEvent(now, false);
 }
 
-void PeerLink::OnStoreAnswer(core::Time now)
+void PeerLink::OnStoreReply(core::Time now)
 {
   this->Exchange.onTick(now); // A first read that fails lets it ask peers.
   this->Relay.OnStoreReply(now);
   this->Send();
 }
 
-void PeerLink::Tell(const core::UnreachableGroupsNotice& notice)
+void PeerLink::SendNotice(const core::UnreachableGroupsNotice& notice)
 {
   if (notice.Groups.empty()) {
     return; // As after nearly every batch of packets.
@@ -121,33 +121,35 @@
   if (const auto* request = std::get_if<core::ViewRequest>(&frame)) {
     this->Exchange.onRequest(*request, now);
   } else if (const auto* transfer = std::get_if<core::ViewTransfer>(&frame)) {
-    changed = this->TakeTransfer(*transfer, now);
+    changed = this->ApplyTransfer(*transfer, now);
   } else if (const auto* subscription =
                std::get_if<core::ViewSubscription>(&frame)) {
     this->Exchange.addPeers({ subscription->replyTo });
     this->Relay.OnSubscription(*subscription, now);
   } else if (const auto* update = std::get_if<core::ViewUpdate>(&frame)) {
-    changed = this->TakeUpdate(*update, now);
+    changed = this->ApplyUpdate(*update, now);
   } else if (const auto* report = std::get_if<core::OutlierReport>(&frame)) {
     this->Relay.OnOutlierReport(*report, now);
     this->LogOutliers();
   } else if (const auto* load = std::get_if<core::LoadReport>(&frame)) {
     this->Relay.OnLoadReport(*load, now);
-  } else if (const auto* sum = std::get_if<core::LoadSummary>(&frame)) {
-    this->Relay.OnLoadSummary(*sum, now);
+  } else if (const auto* summary = std::get_if<core::LoadSummary>(&frame)) {
+    this->Relay.OnLoadSummary(*summary, now);
   } else if (const auto* notice =
                std::get_if<core::UnreachableGroupsNotice>(&frame)) {
     this->View.Steering.onGroupNotice(*notice, now);
-  } else if (const auto* asked = std::get_if<core::ViewPageRequest>(&frame)) {
-    this->Fill.OnRequest(*asked, now);
+  } else if (const auto* pageRequest =
+               std::get_if<core::ViewPageRequest>(&frame)) {
+    this->Backfill.OnRequest(*pageRequest, now);
   } else if (const auto* page = std::get_if<core::ViewPage>(&frame)) {
-    changed = this->Fill.OnPage(*page, now);
+    changed = this->Backfill.OnPage(*page, now);
   }
   this->Send();
-  this->OnHeard(now, changed);
+  this->OnPeerEvent(now, changed);
 }
 
-bool PeerLink::TakeTransfer(const core::ViewTransfer& transfer, core::Time now)
+bool PeerLink::ApplyTransfer(const core::ViewTransfer& transfer,
+                             core::Time now)
 {
   const core::Revision before = this->View.Reader.revision();
   if (!this->Exchange.onTransfer(transfer, now)) {
@@ -164,7 +166,7 @@
   return true;
 }
 
-bool PeerLink::TakeUpdate(const core::ViewUpdate& update, core::Time now)
+bool PeerLink::ApplyUpdate(const core::ViewUpdate& update, core::Time now)
 {
   this->Exchange.addPeers(update.peers);
   const core::UpdateOutcome outcome = this->Relay.OnUpdate(update, now);
@@ -172,9 +174,9 @@
   return outcome == core::UpdateOutcome::kApplied;
 }
 
-void PeerLink::FillView(core::Time now)
+void PeerLink::BackfillView(core::Time now)
 {
-  if (!this->Fill.IsNeeded()) {
+  if (!this->Backfill.IsNeeded()) {
     return;
   }
   core::BackfillPeers peers;
@@ -185,7 +187,7 @@
   peers.Seeds = this->Relay.GetSeeds();
   peers.IsSeed = this->Relay.IsSeed();
   peers.FleetSize = this->Relay.GetFleetSize(now);
-  this->Fill.OnTick(peers, now);
+  this->Backfill.OnTick(peers, now);
 }
 
 void PeerLink::LogUpstream(core::Time now)
@@ -216,8 +218,8 @@
 void PeerLink::LogLoad()
 {
   const core::BackendRegistry& backends = this->View.Steering.backends();
-  for (const core::ZoneBusyChange& crossing : this->Load.TakeBusyChanges()) {
-    logLoadCrossing(crossing, backends, this->Load.CountDaemons());
+  for (const core::ZoneBusyChange& change : this->Load.TakeBusyChanges()) {
+    logZoneBusyChange(change, backends, this->Load.CountDaemons());
   }
 }
 
@@ -234,7 +236,7 @@
     send(outgoing.destination, outgoing.message);
   }
   for (const core::OutgoingBackfillMessage& outgoing :
-       this->Fill.TakeMessages()) {
+       this->Backfill.TakeMessages()) {
     send(outgoing.Destination, outgoing.Message);
   }
   for (const core::OutgoingRelayMessage& outgoing :
--- a/src/daemon/peers/peer_link.h
+++ b/src/daemon/peers/peer_link.h
@@ -60,10 +60,10 @@
   void Start(core::Time now) { this->Exchange.start(now); }
   void OnTick(core::Time now);
   /// Call after the reader took an answer of the store.
-  void OnStoreAnswer(core::Time now);
+  void OnStoreReply(core::Time now);
   /// Tell the daemons next to this one that groups were found silent; each
   /// that finds the same passes it on.
-  void Tell(const core::UnreachableGroupsNotice& notice);
+  void SendNotice(const core::UnreachableGroupsNotice& notice);
   /// Call after the process was suspended.
   void OnResume() { this->Relay.OnResume(); }
   /// Tell the peers that this daemon stops.
@@ -71,7 +71,7 @@
 
   const core::ViewExchange& GetExchange() const { return this->Exchange; }
   const core::ViewRelay& GetRelay() const { return this->Relay; }
-  const core::ViewBackfill& GetFill() const { return this->Fill; }
+  const core::ViewBackfill& GetBackfill() const { return this->Backfill; }
   const net::PeerTransportCounters& GetTransportCounters() const
   {
     return this->Peers.counters();
@@ -83,9 +83,9 @@
 
 private:
   void OnFrame(const net::ReceivedFrame& received);
-  bool TakeTransfer(const core::ViewTransfer& transfer, core::Time now);
-  bool TakeUpdate(const core::ViewUpdate& update, core::Time now);
-  void FillView(core::Time now);
+  bool ApplyTransfer(const core::ViewTransfer& transfer, core::Time now);
+  bool ApplyUpdate(const core::ViewUpdate& update, core::Time now);
+  void BackfillView(core::Time now);
   void LogUpstream(core::Time now);
   void LogOutliers();
   void LogLoad();
@@ -93,14 +93,14 @@
 
   core::Endpoint Self;
   SharedView View;
-  Listener OnHeard;
+  Listener OnPeerEvent;
   core::ViewExchange Exchange;
   core::OutlierDetector Outliers;
   core::LoadMeter Meter;
   core::FleetLoad Load;
   core::ViewDifference Difference;
   core::ViewRelay Relay;
-  core::ViewBackfill Fill;
+  core::ViewBackfill Backfill;
   net::PeerTransport Peers;
   std::optional<core::Endpoint> LoggedUpstream;
 };
--- a/src/daemon/pending_packets.h
+++ b/src/daemon/pending_packets.h
@@ -14,8 +14,8 @@
 namespace cobaltgauge::daemon {
 
 /// About a caller's first repetition; older packets have been sent again.
-inline constexpr core::Duration kPendingAge = std::chrono::milliseconds(250);
-inline constexpr std::size_t kPendingPackets = 256;
+inline constexpr core::Duration kMaxPendingAge = std::chrono::milliseconds(250);
+inline constexpr std::size_t kMaxPendingPackets = 256;
 
 class PendingPackets {
  public:
@@ -26,7 +26,7 @@
 
   /// Keeps a packet; the oldest one goes where there are too many.
   void add(std::vector<std::uint8_t> bytes, core::Time now) {
-    if (packets_.size() >= kPendingPackets) {
+    if (packets_.size() >= kMaxPendingPackets) {
       packets_.pop_front();
     }
     packets_.push_back({now, std::move(bytes)});
@@ -36,7 +36,7 @@
   std::vector<Packet> take(core::Time now) {
     std::vector<Packet> fresh;
     for (Packet& packet : packets_) {
-      if (now - packet.arrivedAt <= kPendingAge) {
+      if (now - packet.arrivedAt <= kMaxPendingAge) {
         fresh.push_back(std::move(packet));
       }
     }
--- a/src/daemon/planned_stop.h
+++ b/src/daemon/planned_stop.h
@@ -14,14 +14,14 @@
   }
   bool hasBegun() const { return begun_; }
 
-  /// @param quiet no packet has come for kQuiet.
+  /// @param isIdle no packet has come for kQuiet.
   /// @param grace time from the signal until the process would be killed.
   /// @return true where routers have noticed and nothing is left to forward, or where packets that
   /// still come are served best by a quick restart.
-  bool isDone(bool quiet, core::Duration grace, core::Time now) const;
+  bool isDone(bool isIdle, core::Duration grace, core::Time now) const;
 
   /// A leaving daemon without packets for this long has nothing left to forward.
-  static constexpr core::Duration kQuiet = std::chrono::milliseconds(600);
+  static constexpr core::Duration kIdleDuration = std::chrono::milliseconds(600);
 
  private:
   bool begun_ = false;
--- a/src/daemon/store_link.cc
+++ b/src/daemon/store_link.cc
@@ -31,8 +31,8 @@
   }
   const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(read->timeout);
   client_.get(dialect_.target(*read), timeout,
-              [this, request = *read, now](const net::HttpAnswer& answer) {
-                onAnswer(request, now, answer);
+              [this, request = *read, now](const net::HttpAnswer& response) {
+                onResponse(request, now, response);
               });
 }
 
@@ -43,21 +43,21 @@
   start();
 }
 
-void StoreLink::onAnswer(const core::StoreRead& read, core::Time sentAt,
-                         const net::HttpAnswer& answer) {
+void StoreLink::onResponse(const core::StoreRead& read, core::Time sentAt,
+                           const net::HttpAnswer& response) {
   const core::Time now = bootTime();
-  core::StoreReply reply = toReply(answer);
+  core::StoreReply reply = toReply(response);
   reply.outcome = reader_.onReply(reply, now);
   listener_(read, reply, now - sentAt);
   start();
 }
 
-core::StoreReply StoreLink::toReply(const net::HttpAnswer& answer) const {
+core::StoreReply StoreLink::toReply(const net::HttpAnswer& response) const {
   core::StoreReply reply;
-  reply.reason = answer.reason;
-  switch (answer.failure) {
+  reply.reason = response.reason;
+  switch (response.failure) {
     case net::HttpFailure::kNone:
-      return dialect_.parse(answer);
+      return dialect_.parse(response);
     case net::HttpFailure::kTimedOut:
       reply.outcome = core::ReadOutcome::kTimedOut;
       break;
--- a/src/daemon/store_link.h
+++ b/src/daemon/store_link.h
@@ -31,8 +31,8 @@
   void restart();
 
  private:
-  void onAnswer(const core::StoreRead& read, core::Time sentAt, const net::HttpAnswer& answer);
-  core::StoreReply toReply(const net::HttpAnswer& answer) const;
+  void onResponse(const core::StoreRead& read, core::Time sentAt, const net::HttpAnswer& response);
+  core::StoreReply toReply(const net::HttpAnswer& response) const;
 
   const net::StoreDialect& dialect_;
   core::StoreReader& reader_;
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -23,7 +23,7 @@
 constexpr int kNotReady = 503;
 constexpr int kNotFound = 404;
 
-std::string joined(const std::vector<std::string>& names) {
+std::string joinNames(const std::vector<std::string>& names) {
   std::string text;
   for (const std::string& name : names) {
     text += (text.empty() ? "" : ",") + name;
@@ -64,20 +64,20 @@
       weights_(settings_.zone),
       admission_(settings_.admission),
       steering_(steeringOptions(settings_), weights_, random_),
-      changeLines_(
+      changeLogger_(
           static_cast<std::uint64_t>(core::memberIdOf(settings_.name)),
           [](const core::ViewChange& change) { logViewChange(change, core::Duration{0}); },
-          &logChangeSum),
+          &logChangeSummary),
       updater_(
           steering_.backends(), steering_.routes(),
           [this](const core::ViewChange& change) { onViewChange(change); }, &changes_),
       reader_(updater_, random_),
       peers_(context_, settings_, {steering_, updater_, reader_, changes_}, random_,
-             [this](core::Time now, bool changed) { onPeers(now, changed); }),
+             [this](core::Time now, bool changed) { onPeerEvent(now, changed); }),
       packets_(context_, *formats_.packets, steering_),
       probes_(context_, steering_, packets_, peers_, reader_),
-      readiness_(context_, [this](const std::string& path) { return answerReadiness(path); }),
-      admin_(context_, [this](const std::string& path) { return answerAdmin(path); }),
+      readiness_(context_, [this](const std::string& path) { return readinessResponse(path); }),
+      admin_(context_, [this](const std::string& path) { return adminResponse(path); }),
       timer_(context_),
       signals_(context_, SIGTERM, SIGINT, SIGHUP) {}
 
@@ -115,9 +115,9 @@
   admission_.SetCapacityView(&peers_.GetLoad(), [this](core::ServiceId service) {
     return zonesOf(steering_.backends(), service);
   });
-  steering_.addOpeningListener(&seenRoom_);
+  steering_.addOpeningListener(&localCapacity_);
   steering_.spill().AddSource(peers_.GetLoad());
-  steering_.spill().AddSource(seenRoom_);
+  steering_.spill().AddSource(localCapacity_);
   waitForSignal();
   logEvent(LogLevel::kInfo, "started",
            {{"zone", settings_.zone},
@@ -147,7 +147,7 @@
   store_ = std::make_unique<StoreLink>(
       context_, settings_.platform, *formats_.store, reader_,
       [this](const core::StoreRead& read, const core::StoreReply& reply, core::Duration latency) {
-        onStoreAnswer(read, reply, latency);
+        onStoreReply(read, reply, latency);
       });
   store_->restart();
 }
@@ -187,7 +187,7 @@
   return reader_.isSynchronized() && !stop_.hasBegun() && steering_.serving().IsServing();
 }
 
-net::HttpResponse TokenDaemon::answerReadiness(const std::string& path) const {
+net::HttpResponse TokenDaemon::readinessResponse(const std::string& path) const {
   if (path != "/ready") {
     return {kNotFound, "text/plain", "only /ready is here\n"};
   }
@@ -195,7 +195,7 @@
                    : net::HttpResponse{kNotReady, "text/plain", "not ready\n"};
 }
 
-net::HttpResponse TokenDaemon::answerAdmin(const std::string& path) const {
+net::HttpResponse TokenDaemon::adminResponse(const std::string& path) const {
   if (path == "/zones") {
     return {200, "application/json",
             zonePage(steering_.backends().evacuations(), reader_.revision(), isReady(),
@@ -223,8 +223,8 @@
 }
 
 void TokenDaemon::onBatch(core::Time now) {
-  noticeSuspension(now);
-  noteViewState(now);
+  detectSuspension(now);
+  updateViewState(now);
 }
 
 void TokenDaemon::onVerdict(const core::PacketSummary& packet, const core::Verdict& verdict,
@@ -245,25 +245,25 @@
     logEvent(LogLevel::kInfo, "backend_port_found", {{"port", std::to_string(*port)}});
     packets_.retryPending(now);
   }
-  probes_.carryOut(now);
+  probes_.executePending(now);
 }
 
 void TokenDaemon::onTick() {
   const core::Time now = bootTime();
-  noticeSuspension(now);
+  detectSuspension(now);
   steering_.onTick(now);
   updater_.reportExpiredEvacuations();
   peers_.OnTick(now);
-  const std::uint32_t fleet = peers_.GetRelay().GetFleetSize(now);
-  steering_.setFleetSize(fleet);
-  changeLines_.setFleet(fleet);
-  changeLines_.onTick(now);
+  const std::uint32_t fleetSize = peers_.GetRelay().GetFleetSize(now);
+  steering_.setFleetSize(fleetSize);
+  changeLogger_.setFleetSize(fleetSize);
+  changeLogger_.onTick(now);
   for (const core::AdmissionState& change : admission_.TakeChanges(now)) {
     logAdmission(change);
   }
-  probes_.carryOut(now);
+  probes_.executePending(now);
   for (const core::SpilloverChange& change : steering_.spill().TakeChanges()) {
-    logSpill(change, steering_.backends(), reader_.revision());
+    logSpillover(change, steering_.backends(), reader_.revision());
   }
   if (now >= nextSettingsCheck_) {
     nextSettingsCheck_ = now + kSettingsCheckInterval;
@@ -275,7 +275,7 @@
   flushLog();
 }
 
-void TokenDaemon::noticeSuspension(core::Time now) {
+void TokenDaemon::detectSuspension(core::Time now) {
   const core::Duration gap = now - lastActive_;
   lastActive_ = now;
   if (gap < core::kSuspensionGap) {
@@ -288,17 +288,17 @@
   store_->restart();
 }
 
-void TokenDaemon::onStoreAnswer(const core::StoreRead& read, const core::StoreReply& reply,
-                                core::Duration latency) {
+void TokenDaemon::onStoreReply(const core::StoreRead& read, const core::StoreReply& reply,
+                               core::Duration latency) {
   logStoreRead(read, reply, latency, reader_.revision());
-  const bool newView =
+  const bool viewChanged =
       !reply.changes.empty() || reader_.isSynchronized() != steering_.hasCompleteView();
-  if (newView && reader_.isSynchronized()) {
+  if (viewChanged && reader_.isSynchronized()) {
     onViewChanged(bootTime());
   }
-  peers_.OnStoreAnswer(bootTime());
+  peers_.OnStoreReply(bootTime());
   if (read.kind == core::StoreRead::Kind::kList) {
-    latencies_.onStoreAnswer(latency);
+    latencies_.onStoreReply(latency);
   }
   const bool answered = reply.outcome == core::ReadOutcome::kAnswered ||
                         reply.outcome == core::ReadOutcome::kHistoryGone;
@@ -314,22 +314,22 @@
             {"revision", toString(reader_.revision())}});
 }
 
-void TokenDaemon::onPeers(core::Time now, bool changed) {
+void TokenDaemon::onPeerEvent(core::Time now, bool changed) {
   if (changed || reader_.isSynchronized() != steering_.hasCompleteView()) {
     onViewChanged(now);
   }
-  probes_.carryOutDomains(now);
+  probes_.executePendingForDomains(now);
   store_->start();
 }
 
 void TokenDaemon::onViewChanged(core::Time now) {
-  noteViewState(now);
+  updateViewState(now);
   packets_.retryPending(now);
   steering_.onViewChanged();
-  probes_.carryOut(now);
+  probes_.executePending(now);
 }
 
-void TokenDaemon::noteViewState(core::Time now) {
+void TokenDaemon::updateViewState(core::Time now) {
   steering_.setViewState(reader_.isSynchronized(), reader_.isCurrent(now),
                          reader_.hasAllBackends());
 }
@@ -337,7 +337,7 @@
 void TokenDaemon::onViewChange(const core::ViewChange& change) {
   const core::Time now = bootTime();
   if (change.kind == core::ViewChange::Kind::kBackend) {
-    changeLines_.take(change, now);
+    changeLogger_.add(change, now);
   } else {
     logViewChange(change, now - reader_.confirmedAt());
   }
@@ -367,8 +367,8 @@
   }
   setLogLevel(settings_.logLevel);
   applySettings();
-  const bool policyTaken = loadPolicy();
-  if (policyTaken) {
+  const bool policyApplied = loadPolicy();
+  if (policyApplied) {
     steering_.backends().recomputeWeights();
   }
   if (settings_.platform != storeBefore) {
@@ -376,15 +376,15 @@
   }
   logEvent(LogLevel::kInfo, "reloaded",
            {{"cause", cause},
-            {"taken", joined(change->taken)},
-            {"needs_restart", joined(change->needsRestart)},
-            {"policy", policyTaken ? "taken" : lastReason_}});
+            {"taken", joinNames(change->taken)},
+            {"needs_restart", joinNames(change->needsRestart)},
+            {"policy", policyApplied ? "taken" : lastReason_}});
 }
 
 void TokenDaemon::stopIfDone(core::Time now) {
-  const bool quiet = now - packets_.lastPacketAt() > PlannedStop::kQuiet;
-  if (stop_.isDone(quiet, std::chrono::duration_cast<core::Duration>(settings_.stopGrace), now)) {
-    logEvent(LogLevel::kInfo, "planned_stop_ended", {{"quiet", quiet ? "yes" : "no"}});
+  const bool isIdle = now - packets_.lastPacketAt() > PlannedStop::kIdleDuration;
+  if (stop_.isDone(isIdle, std::chrono::duration_cast<core::Duration>(settings_.stopGrace), now)) {
+    logEvent(LogLevel::kInfo, "planned_stop_ended", {{"quiet", isIdle ? "yes" : "no"}});
     context_.stop();
   }
 }
--- a/src/daemon/token_daemon.h
+++ b/src/daemon/token_daemon.h
@@ -14,7 +14,6 @@
 #include "core/token_steering.h"
 #include "core/view_updater.h"
 #include "daemon/backend_probes.h"
-#include "daemon/change_lines.h"
 #include "daemon/packet_port.h"
 #include "daemon/peers/peer_link.h"
 #include "daemon/planned_stop.h"
@@ -24,6 +23,7 @@
 #include "daemon/store_link.h"
 #include "daemon/system_random.h"
 #include "daemon/token_metrics.h"
+#include "daemon/view_change_logger.h"
 #include "net/http_server.h"
 #include "net/store_dialect.h"
 
@@ -45,22 +45,22 @@
   /// Puts in force what can change while the daemon runs, but for the policy and the store.
   void applySettings();
   bool isReady() const;
-  net::HttpResponse answerReadiness(const std::string& path) const;
-  net::HttpResponse answerAdmin(const std::string& path) const;
+  net::HttpResponse readinessResponse(const std::string& path) const;
+  net::HttpResponse adminResponse(const std::string& path) const;
   void onBatch(core::Time now);
   void onVerdict(const core::PacketSummary& packet, const core::Verdict& verdict, core::Time now);
   void onDrained(core::Time now);
   void onTick();
   void scheduleTick();
-  void noticeSuspension(core::Time now);
-  void onStoreAnswer(const core::StoreRead& read, const core::StoreReply& reply,
-                     core::Duration latency);
+  void detectSuspension(core::Time now);
+  void onStoreReply(const core::StoreRead& read, const core::StoreReply& reply,
+                    core::Duration latency);
   void waitForSignal();
   /// Takes what changed by a peer's message.
-  void onPeers(core::Time now, bool changed);
+  void onPeerEvent(core::Time now, bool changed);
   /// Decides again what waited for the view, and gives up what it shows to be gone.
   void onViewChanged(core::Time now);
-  void noteViewState(core::Time now);
+  void updateViewState(core::Time now);
   void onViewChange(const core::ViewChange& change);
   void onSignal(int signal);
   void beginStop();
@@ -76,9 +76,9 @@
   PolicyWeights weights_;
   core::PriorityAdmission admission_;
   core::TokenSteering steering_;
-  core::LocalCapacityEstimator seenRoom_;
+  core::LocalCapacityEstimator localCapacity_;
   core::ChangeLog changes_;
-  ChangeLines changeLines_;
+  ViewChangeLogger changeLogger_;
   core::ViewUpdater updater_;
   core::StoreReader reader_;
   PeerLink peers_;
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -16,24 +16,24 @@
   return text;
 }
 
-std::string fraction(double number) {
+std::string formatFraction(double number) {
   char text[32];
   std::snprintf(text, sizeof(text), "%.2f", number);
   return text;
 }
 
-std::string flowText(const core::FlowKey& flow) {
+std::string formatFlow(const core::FlowKey& flow) {
   return net::formatEndpoint(flow.source) + ">" + net::formatEndpoint(flow.destination);
 }
 
 /// One line a request: packets without data are not told.
-void logReached(const core::PacketSummary& packet, const core::ForwardToBackend& forward,
-                core::Revision viewRevision) {
+void logTokenResolved(const core::PacketSummary& packet, const core::ForwardToBackend& forward,
+                      core::Revision viewRevision) {
   if (packet.dataLength == 0) {
     return;
   }
   logEvent(LogLevel::kInfo, "flow_reached",
-           {{"flow", flowText(packet.flow)},
+           {{"flow", formatFlow(packet.flow)},
             {"address", net::formatEndpoint(forward.backend.endpoint)},
             {"version", std::to_string(forward.version)},
             {"revision", toString(viewRevision)}});
@@ -45,12 +45,12 @@
     return;
   }
   if (forward.reason == core::RouteReason::kReached) {
-    logReached(packet, forward, viewRevision);
+    logTokenResolved(packet, forward, viewRevision);
     return;
   }
   const core::OpeningDecision& decision = steering.lastDecision();
   logEvent(LogLevel::kInfo, "opening_forwarded",
-           {{"flow", flowText(packet.flow)},
+           {{"flow", formatFlow(packet.flow)},
             {"copy", std::to_string(packet.openingRetransmission)},
             {"rule", toString(forward.reason)},
             {"backend", hex(forward.backend.id)},
@@ -92,7 +92,7 @@
                        : drop != nullptr  ? toString(drop->reason)
                                           : "none";
   logEvent(LogLevel::kWarning, refusal != nullptr ? "packet_refused" : "packet_dropped",
-           {{"flow", flowText(packet.flow)},
+           {{"flow", formatFlow(packet.flow)},
             {"reason", reason},
             {"token", std::to_string(static_cast<std::uint32_t>(packet.token))},
             {"copy", std::to_string(packet.openingRetransmission)},
@@ -102,7 +102,7 @@
 
 void logReset(const core::FlowReset& reset, core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, "flow_reset",
-           {{"flow", flowText(reset.flow)},
+           {{"flow", formatFlow(reset.flow)},
             {"reason", toString(reset.reason)},
             {"backend", hex(reset.backend)},
             {"revision", toString(viewRevision)}});
@@ -115,7 +115,7 @@
             {"result", core::ToString(result)}});
 }
 
-void logUnproven(const core::BackendAddress& backend, core::ProbeDoubt doubt) {
+void logInconclusiveProbe(const core::BackendAddress& backend, core::ProbeDoubt doubt) {
   logEvent(LogLevel::kInfo, "silence_unproven",
            {{"backend", hex(backend.id)}, {"doubt", core::ToString(doubt)}});
 }
@@ -164,17 +164,17 @@
   }
 }
 
-void logChangeSum(const ChangeLines::Sum& sum) {
+void logChangeSummary(const ViewChangeLogger::Summary& summary) {
   LogFields fields;
-  for (std::size_t event = 0; event < sum.counts.size(); ++event) {
-    if (sum.counts[event] != 0) {
+  for (std::size_t event = 0; event < summary.counts.size(); ++event) {
+    if (summary.counts[event] != 0) {
       fields.emplace_back(toString(static_cast<core::RegistryEvent>(event)),
-                          std::to_string(sum.counts[event]));
+                          std::to_string(summary.counts[event]));
     }
   }
-  fields.emplace_back("first_key", sum.firstKey);
-  fields.emplace_back("first_revision", toString(sum.first));
-  fields.emplace_back("last_revision", toString(sum.last));
+  fields.emplace_back("first_key", summary.firstKey);
+  fields.emplace_back("first_revision", toString(summary.first));
+  fields.emplace_back("last_revision", toString(summary.last));
   logEvent(LogLevel::kInfo, "backends_changed", fields);
 }
 
@@ -201,33 +201,33 @@
             {"revision", toString(viewRevision)}});
 }
 
-void logSilentGroup(const core::BackendGroup& group, std::size_t silent,
-                    const core::BackendRegistry& backends, core::Revision viewRevision) {
+void logUnreachableGroup(const core::BackendGroup& group, std::size_t unreachableGroups,
+                         const core::BackendRegistry& backends, core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, "group_silent",
            {{"service", backends.nameOf(group.Service)},
             {"zone", backends.nameOf(group.Zone)},
-            {"silent_groups", std::to_string(silent)},
+            {"silent_groups", std::to_string(unreachableGroups)},
             {"revision", toString(viewRevision)}});
 }
 
 void logAdmission(const core::AdmissionState& state) {
-  const core::OpeningStatistics& inputs = state.Inputs;
+  const core::OpeningStatistics& statistics = state.Inputs;
   logEvent(LogLevel::kWarning, state.IsLimited ? "openings_limited" : "openings_unlimited",
            {{"service", state.Service},
-            {"let_in_share", fraction(state.AdmittedShare)},
-            {"let_in_per_s", fraction(state.AdmittedRate)},
-            {"wanted", fraction(inputs.CountOffered())},
-            {"served", std::to_string(inputs.Served)},
-            {"rejected", std::to_string(inputs.Rejected)},
-            {"within_ms", fraction(inputs.Seconds * kMillisecondsPerSecond)},
+            {"let_in_share", formatFraction(state.AdmittedShare)},
+            {"let_in_per_s", formatFraction(state.AdmittedRate)},
+            {"wanted", formatFraction(statistics.CountOffered())},
+            {"served", std::to_string(statistics.Served)},
+            {"rejected", std::to_string(statistics.Rejected)},
+            {"within_ms", formatFraction(statistics.Seconds * kMillisecondsPerSecond)},
             {"rejected_by_serving", std::to_string(state.Distribution.ByServing)},
-            {"expected_of_these", fraction(state.Distribution.ExpectedByServing)},
+            {"expected_of_these", formatFraction(state.Distribution.ExpectedByServing)},
             {"room", ToString(state.Capacity)},
-            {"probe", fraction(state.GrowthFactor)}});
+            {"probe", formatFraction(state.GrowthFactor)}});
 }
 
-void logSpill(const core::SpilloverChange& change, const core::BackendRegistry& backends,
-              core::Revision viewRevision) {
+void logSpillover(const core::SpilloverChange& change, const core::BackendRegistry& backends,
+                  core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, change.Began ? "spill_began" : "spill_ended",
            {{"service", backends.nameOf(change.Service)},
             {"zone", backends.nameOf(change.Zone)},
@@ -245,16 +245,16 @@
             {"revision", toString(viewRevision)}});
 }
 
-void logLoadCrossing(const core::ZoneBusyChange& crossing, const core::BackendRegistry& backends,
-                     std::uint32_t daemons) {
-  logEvent(LogLevel::kInfo, crossing.IsBusy ? "zone_busy" : "zone_calm",
-           {{"service", backends.nameOf(crossing.Key.first)},
-            {"zone", backends.nameOf(crossing.Key.second)},
-            {"in_flight", std::to_string(crossing.Load.InFlight)},
-            {"slots", std::to_string(crossing.Slots)},
-            {"openings", std::to_string(crossing.Load.OpeningsInSecond)},
-            {"rejected", std::to_string(crossing.Load.RejectedInSecond)},
-            {"age_ms", std::to_string(crossing.Age / std::chrono::milliseconds(1))},
+void logZoneBusyChange(const core::ZoneBusyChange& change, const core::BackendRegistry& backends,
+                       std::uint32_t daemons) {
+  logEvent(LogLevel::kInfo, change.IsBusy ? "zone_busy" : "zone_calm",
+           {{"service", backends.nameOf(change.Key.first)},
+            {"zone", backends.nameOf(change.Key.second)},
+            {"in_flight", std::to_string(change.Load.InFlight)},
+            {"slots", std::to_string(change.Slots)},
+            {"openings", std::to_string(change.Load.OpeningsInSecond)},
+            {"rejected", std::to_string(change.Load.RejectedInSecond)},
+            {"age_ms", std::to_string(change.Age / std::chrono::milliseconds(1))},
             {"daemons", std::to_string(daemons)}});
 }
 
--- a/src/daemon/token_log.h
+++ b/src/daemon/token_log.h
@@ -7,7 +7,7 @@
 #include "core/store_reader.h"
 #include "core/token_steering.h"
 #include "core/view_updater.h"
-#include "daemon/change_lines.h"
+#include "daemon/view_change_logger.h"
 
 namespace cobaltgauge::daemon {
 
@@ -22,10 +22,10 @@
 void logProbe(const core::BackendAddress& backend, core::ProbeResult result);
 
 /// Logs why a back end that took no connection is not taken for dead.
-void logUnproven(const core::BackendAddress& backend, core::ProbeDoubt doubt);
+void logInconclusiveProbe(const core::BackendAddress& backend, core::ProbeDoubt doubt);
 
 /// Logs changes of back ends that had no lines of their own.
-void logChangeSum(const ChangeLines::Sum& sum);
+void logChangeSummary(const ViewChangeLogger::Summary& summary);
 /// Logs a change of the view. @param viewAge since the view was last known to be the store's: the
 /// change cannot have been made longer ago.
 void logViewChange(const core::ViewChange& change, core::Duration viewAge);
@@ -37,9 +37,9 @@
 /// This daemon began or ceased to ask for packets, by what it reaches.
 void logServingChange(const core::ServingChange& change, core::Revision viewRevision);
 
-/// All back ends of a group come last for new flows. @param silent how many groups do.
-void logSilentGroup(const core::BackendGroup& group, std::size_t silent,
-                    const core::BackendRegistry& backends, core::Revision viewRevision);
+/// All back ends of a group come last for new flows. @param unreachableGroups how many groups do.
+void logUnreachableGroup(const core::BackendGroup& group, std::size_t unreachableGroups,
+                         const core::BackendRegistry& backends, core::Revision viewRevision);
 
 /// Logs that a service's limit began, changed by much or ended, and by what.
 void logAdmission(const core::AdmissionState& state);
@@ -48,12 +48,12 @@
 void logOutlier(core::BackendId backend, core::Revision viewRevision);
 
 /// Openings of a service begin or cease to leave a zone for want of room.
-void logSpill(const core::SpilloverChange& change, const core::BackendRegistry& backends,
-              core::Revision viewRevision);
+void logSpillover(const core::SpilloverChange& change, const core::BackendRegistry& backends,
+                  core::Revision viewRevision);
 
 /// Back ends of a service in a zone are more than half used, or no longer. @param daemons whose
 /// load it is.
-void logLoadCrossing(const core::ZoneBusyChange& crossing, const core::BackendRegistry& backends,
-                     std::uint32_t daemons);
+void logZoneBusyChange(const core::ZoneBusyChange& change, const core::BackendRegistry& backends,
+                       std::uint32_t daemons);
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -26,23 +26,23 @@
   return samples;
 }
 
-std::vector<MetricSample> keptShares(const core::TokenSteering& steering) {
+std::vector<MetricSample> localShares(const core::TokenSteering& steering) {
   std::vector<MetricSample> samples;
-  for (const auto& [zone, kept] : steering.spill().GetLocalShareByZone()) {
-    samples.push_back({steering.backends().nameOf(zone), kept});
+  for (const auto& [zone, localShare] : steering.spill().GetLocalShareByZone()) {
+    samples.push_back({steering.backends().nameOf(zone), localShare});
   }
   return samples;
 }
 
 double seconds(core::Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-std::vector<MetricSample> byRank(const core::PriorityAdmission& admission,
-                                 std::uint64_t core::PriorityCounters::*count) {
+std::vector<MetricSample> byPriority(const core::PriorityAdmission& admission,
+                                     std::uint64_t core::PriorityCounters::*count) {
   std::vector<MetricSample> samples;
-  for (const auto& [service, ranks] : admission.GetCounters()) {
-    for (const auto& [rank, counters] : ranks) {
+  for (const auto& [service, priorities] : admission.GetCounters()) {
+    for (const auto& [priority, counters] : priorities) {
       samples.push_back(
-          {service + "/" + std::to_string(rank), static_cast<double>(counters.*count)});
+          {service + "/" + std::to_string(priority), static_cast<double>(counters.*count)});
     }
   }
   return samples;
@@ -143,13 +143,15 @@
        [](const Sources& s) { return single(s.reader.hasAllBackends()); }},
       {"cobaltgauge_view_pages_given_total", "Pages of missing back ends given to peers", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().PagesSent); }},
+       [](const Sources& s) { return single(s.peers.GetBackfill().GetCounters().PagesSent); }},
       {"cobaltgauge_view_pages_refused_total", "Requests of peers for a page that got none",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().RequestsRefused); }},
+       [](const Sources& s) {
+         return single(s.peers.GetBackfill().GetCounters().RequestsRefused);
+       }},
       {"cobaltgauge_view_pages_taken_total", "Pages of missing back ends taken from peers", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetFill().GetCounters().PagesApplied); }},
+       [](const Sources& s) { return single(s.peers.GetBackfill().GetCounters().PagesApplied); }},
       {"cobaltgauge_reads_store", "1 while this daemon reads the store, 0 while it follows a peer",
        nullptr, MetricType::Gauge,
        [](const Sources& s) { return single(s.peers.GetRelay().IsReading() ? 1 : 0); }},
@@ -181,11 +183,11 @@
        [](const Sources& s) { return single(s.peers.GetOutliers().GetCounters().Found); }},
       {"cobaltgauge_openings_wanted_total", "Openings that were to be placed, by service and rank",
        "service_rank", MetricType::Counter,
-       [](const Sources& s) { return byRank(s.admission, &core::PriorityCounters::Offered); }},
+       [](const Sources& s) { return byPriority(s.admission, &core::PriorityCounters::Offered); }},
       {"cobaltgauge_openings_no_room_total",
        "Of those, refused since back ends are full, by service and rank", "service_rank",
        MetricType::Counter,
-       [](const Sources& s) { return byRank(s.admission, &core::PriorityCounters::Refused); }},
+       [](const Sources& s) { return byPriority(s.admission, &core::PriorityCounters::Refused); }},
       {"cobaltgauge_openings_limit_per_second",
        "Openings that are let in while back ends are full; 0: no limit", "service",
        MetricType::Gauge,
@@ -228,8 +230,8 @@
        "zone", MetricType::Gauge,
        [](const Sources& s) {
          return byZone(s, [&s](const core::LoadKey& key, std::uint32_t) -> std::optional<double> {
-           const auto room = s.peers.GetLoad().GetZoneCapacity(key.first, key.second, s.now);
-           return room ? std::optional(room->Utilization) : std::nullopt;
+           const auto capacity = s.peers.GetLoad().GetZoneCapacity(key.first, key.second, s.now);
+           return capacity ? std::optional(capacity->Utilization) : std::nullopt;
          });
        }},
       {"cobaltgauge_load_age_milliseconds", "Age of the oldest part of the load figures", nullptr,
@@ -263,7 +265,7 @@
        [](const Sources& s) { return single(s.steering.spill().CountSpilled()); }},
       {"cobaltgauge_zone_kept_share",
        "Share of a zone's openings that stays there, of the service that keeps least", "zone",
-       MetricType::Gauge, [](const Sources& s) { return keptShares(s.steering); }},
+       MetricType::Gauge, [](const Sources& s) { return localShares(s.steering); }},
       {"cobaltgauge_peer_streams_given_up_total",
        "Connections between daemons that did not carry their message in time", nullptr,
        MetricType::Counter,
@@ -317,17 +319,17 @@
 }  // namespace
 
 LatencyHistograms::LatencyHistograms()
-    : openings_(kLatencyBounds), answers_(kLatencyBounds), storeReads_(kLatencyBounds) {}
+    : openings_(kLatencyBounds), acknowledgements_(kLatencyBounds), storeReads_(kLatencyBounds) {}
 
 void LatencyHistograms::onOpeningResponse(core::Duration latency) {
   openings_.Observe(seconds(latency));
 }
 
 void LatencyHistograms::onDataAcknowledged(core::Duration latency) {
-  answers_.Observe(seconds(latency));
+  acknowledgements_.Observe(seconds(latency));
 }
 
-void LatencyHistograms::onStoreAnswer(core::Duration latency) {
+void LatencyHistograms::onStoreReply(core::Duration latency) {
   storeReads_.Observe(seconds(latency));
 }
 
@@ -336,7 +338,8 @@
       family("cobaltgauge_opening_seconds",
              "From placing an opening to the caller's first packet after the answer", openings_),
       family("cobaltgauge_answer_seconds",
-             "From a caller's new data to its first acknowledgement of new bytes", answers_),
+             "From a caller's new data to its first acknowledgement of new bytes",
+             acknowledgements_),
       family("cobaltgauge_store_list_seconds", "Time of one page of the store's listing",
              storeReads_)};
 }
--- a/src/daemon/token_metrics.h
+++ b/src/daemon/token_metrics.h
@@ -23,14 +23,14 @@
 
   void onOpeningResponse(core::Duration latency) override;
   void onDataAcknowledged(core::Duration latency) override;
-  void onStoreAnswer(core::Duration latency);
+  void onStoreReply(core::Duration latency);
 
   /// @return one family for each histogram.
   std::vector<prometheus::MetricFamily> collect() const;
 
  private:
   prometheus::Histogram openings_;
-  prometheus::Histogram answers_;
+  prometheus::Histogram acknowledgements_;
   prometheus::Histogram storeReads_;
 };
 
--- /dev/null
+++ b/src/daemon/view_change_logger.cc
@@ -0,0 +1,56 @@
+#include "daemon/view_change_logger.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "core/hashing.h"
+
+namespace cobaltgauge::daemon {
+namespace {
+
+constexpr core::Duration kPeriod = std::chrono::seconds(1);
+/// Single lines of a second: a calm day's changes, and the first ones of any
+/// event.
+constexpr std::uint32_t kLinesPerPeriod = 8;
+/// Daemons of the fleet that tell a change singly in any case.  Three, since
+/// one may die and another may not have got the change yet.
+constexpr std::uint64_t kLoggersPerChange = 3;
+
+}  // namespace
+
+ViewChangeLogger::ViewChangeLogger(std::uint64_t daemon, LogChange logChange, LogSummary logSummary)
+    : daemon_(daemon), logChange_(std::move(logChange)), logSummary_(std::move(logSummary)) {}
+
+bool ViewChangeLogger::isSampled(const core::ViewChange& change) const {
+  const std::uint64_t hash =
+      core::mixHash(core::hashName(change.key) + change.revision.number, daemon_);
+  return hash % std::max<std::uint64_t>(fleetSize_, 1) < kLoggersPerChange;
+}
+
+void ViewChangeLogger::add(const core::ViewChange& change, core::Time now) {
+  onTick(now);
+  if (loggedInPeriod_ < kLinesPerPeriod || isSampled(change)) {
+    ++loggedInPeriod_;
+    logChange_(change);
+    return;
+  }
+  if (!std::exchange(hasSuppressed_, true)) {
+    suppressed_.first = change.revision;
+    suppressed_.firstKey = change.key;
+  }
+  suppressed_.last = change.revision;
+  ++suppressed_.counts[static_cast<std::size_t>(change.backendEvent)];
+}
+
+void ViewChangeLogger::onTick(core::Time now) {
+  if (now - periodStart_ < kPeriod) {
+    return;
+  }
+  periodStart_ = now;
+  loggedInPeriod_ = 0;
+  if (std::exchange(hasSuppressed_, false)) {
+    logSummary_(std::exchange(suppressed_, {}));
+  }
+}
+
+}  // namespace cobaltgauge::daemon
--- a/src/daemon/change_lines.h
+++ b/src/daemon/view_change_logger.h
@@ -20,40 +20,40 @@
  * kTellersOfChange of the fleet on the mean, so that a search for an id over
  * the logs of all daemons finds it.  All others count it.
  */
-class ChangeLines {
+class ViewChangeLogger {
  public:
   /// Back ends that changed within a second and were not told singly.
-  struct Sum {
+  struct Summary {
     std::array<std::uint64_t, core::kRegistryEvents> counts{};  ///< By event.
     core::Revision first = 0;
     core::Revision last = 0;
     std::string firstKey;
   };
-  using TellOne = std::function<void(const core::ViewChange&)>;
-  using TellSum = std::function<void(const Sum&)>;
+  using LogChange = std::function<void(const core::ViewChange&)>;
+  using LogSummary = std::function<void(const Summary&)>;
 
   /// \param daemon tells this daemon from the others.
-  ChangeLines(std::uint64_t daemon, TellOne one, TellSum sum);
+  ViewChangeLogger(std::uint64_t daemon, LogChange logChange, LogSummary logSummary);
 
-  /// \param fleet how many daemons there are; errs high.
-  void setFleet(std::uint32_t fleet) { fleet_ = fleet; }
+  /// \param fleetSize how many daemons there are; errs high.
+  void setFleetSize(std::uint32_t fleetSize) { fleetSize_ = fleetSize; }
 
   /// Take a change of a back end.
-  void take(const core::ViewChange& change, core::Time now);
+  void add(const core::ViewChange& change, core::Time now);
   /// Tell what was counted, once a second at most.
   void onTick(core::Time now);
 
  private:
-  bool isDrawn(const core::ViewChange& change) const;
+  bool isSampled(const core::ViewChange& change) const;
 
   std::uint64_t daemon_;
-  TellOne one_;
-  TellSum all_;
-  std::uint32_t fleet_ = 1;
-  core::Time secondBegan_{};
-  std::uint32_t told_ = 0;  ///< Singly, in this second.
-  Sum counted_;
-  bool hasCounted_ = false;
+  LogChange logChange_;
+  LogSummary logSummary_;
+  std::uint32_t fleetSize_ = 1;
+  core::Time periodStart_{};
+  std::uint32_t loggedInPeriod_ = 0;  ///< Singly, in this second.
+  Summary suppressed_;
+  bool hasSuppressed_ = false;
 };
 
 }  // namespace cobaltgauge::daemon
--- a/tests/daemon/backend_prober_test.cc
+++ b/tests/daemon/backend_prober_test.cc
@@ -30,8 +30,8 @@
 
   /// Fills the queue of connections.
   void fill(asio::io_context& context) {
-    constexpr int kMoreThanItTakes = 4;
-    for (int i = 0; i < kMoreThanItTakes; ++i) {
+    constexpr int kMoreThanBacklog = 4;
+    for (int i = 0; i < kMoreThanBacklog; ++i) {
       tcp::socket& filler = fillers.emplace_back(context);
       filler.async_connect(acceptor.local_endpoint(), [](const asio::error_code&) {});
     }
@@ -61,11 +61,11 @@
 
 BOOST_FIXTURE_TEST_SUITE(BackendProberTest, ProberFixture)
 
-BOOST_AUTO_TEST_CASE(one_that_listens_is_connected_to) {
+BOOST_AUTO_TEST_CASE(listening_backend_is_connected) {
   BOOST_TEST((probe({witness.endpoint()}) == ProbeResult::kConnected));
 }
 
-BOOST_AUTO_TEST_CASE(one_that_stopped_listening_refuses) {
+BOOST_AUTO_TEST_CASE(closed_port_refuses) {
   const core::Endpoint gone = suspect.endpoint();
   suspect.acceptor.close();
   core::BackendAddress backend;
@@ -75,13 +75,13 @@
   BOOST_TEST((result == ProbeResult::kRefused));
 }
 
-BOOST_AUTO_TEST_CASE(one_that_is_silent_beside_a_witness_that_answers_is_dead) {
+BOOST_AUTO_TEST_CASE(unresponsive_backend_with_responding_witness_times_out) {
   suspect.fill(context);
   witness.acceptor.listen();
   BOOST_TEST((probe({witness.endpoint()}) == ProbeResult::kTimedOut));
 }
 
-BOOST_AUTO_TEST_CASE(where_the_witness_is_silent_too_nothing_is_proven) {
+BOOST_AUTO_TEST_CASE(unresponsive_witness_makes_probe_inconclusive) {
   suspect.fill(context);
   witness.fill(context);
   BOOST_TEST((probe({witness.endpoint()}) == ProbeResult::kUnproven));
--- a/tests/daemon/packet_port_test.cc
+++ b/tests/daemon/packet_port_test.cc
@@ -6,7 +6,7 @@
 
 #include "core/token_steering.h"
 #include "net/address.h"
-#include "platform/packet_head.h"
+#include "platform/packet_header.h"
 #include "support/token_fixtures.h"
 
 namespace cobaltgauge::tests {
@@ -15,11 +15,11 @@
 /// A packet port on loopback, a back end's socket, and a caller's.
 struct PortFixture : TokenFixture {
   asio::io_context context;
-  platform::PacketHead format;
-  core::TokenSteering empty{core::TokenSteeringOptions{}, weights, random};
-  daemon::PacketPort port{context, format, empty};
+  platform::PacketHeader format;
+  core::TokenSteering viewlessSteering{core::TokenSteeringOptions{}, weights, random};
+  daemon::PacketPort port{context, format, viewlessSteering};
   asio::ip::udp::socket backend{context, {asio::ip::make_address("127.0.0.1"), 0}};
-  asio::ip::udp::socket caller{context, {asio::ip::make_address("127.0.0.1"), 0}};
+  asio::ip::udp::socket client{context, {asio::ip::make_address("127.0.0.1"), 0}};
 
   PortFixture() {
     BOOST_REQUIRE(port.open(*net::parseEndpoint("127.0.0.1:0")));
@@ -37,7 +37,7 @@
   }
 
   void sendToPort(const std::vector<std::uint8_t>& packet) {
-    caller.send_to(asio::buffer(packet), net::toUdp(port.localEndpoint()));
+    client.send_to(asio::buffer(packet), net::toUdp(port.localEndpoint()));
     const std::uint64_t before = port.counters().received;
     while (port.counters().received == before) {
       context.run_one();
@@ -45,12 +45,12 @@
   }
 
   /// Gives the empty steering one back end, at this fixture's socket.
-  void learnView() {
+  void provideView() {
     core::Registration registration = makeRegistration(9, "web", 1, 1);
     registration.endpoint = net::fromUdp(backend.local_endpoint());
-    empty.backends().put("servers/9", registration, 1, now);
-    empty.routes().offer(makeRoutes(1, {{1, "web"}}), now);
-    empty.setViewState(true, true);
+    viewlessSteering.backends().put("servers/9", registration, 1, now);
+    viewlessSteering.routes().offer(makeRoutes(1, {{1, "web"}}), now);
+    viewlessSteering.setViewState(true, true);
   }
 
   /// @return bytes of the datagram that waits at the back end, zero for none.
@@ -66,10 +66,10 @@
 
 // The packets of the first milliseconds were dropped and sent again by their callers only after
 // 200 to 800 ms (ptf scale-1 after all daemons were killed).
-BOOST_AUTO_TEST_CASE(packets_that_come_before_the_view_are_forwarded_once_it_is_there) {
+BOOST_AUTO_TEST_CASE(early_packets_are_forwarded_once_the_view_is_known) {
   sendToPort(opening());
   BOOST_TEST(receivedByBackend() == 0U);
-  learnView();
+  provideView();
   port.retryPending(port.lastPacketAt());
   BOOST_TEST(receivedByBackend() == 39U);
   BOOST_TEST(port.counters().retried == 1U);
@@ -77,26 +77,26 @@
   BOOST_TEST(port.counters().retried == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(packets_that_waited_too_long_are_not_forwarded) {
+BOOST_AUTO_TEST_CASE(expired_packets_are_not_forwarded) {
   sendToPort(opening());
-  learnView();
-  port.retryPending(port.lastPacketAt() + daemon::kPendingAge + 1ms);
+  provideView();
+  port.retryPending(port.lastPacketAt() + daemon::kMaxPendingAge + 1ms);
   BOOST_TEST(receivedByBackend() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(what_is_no_packet_is_counted_by_reason) {
+BOOST_AUTO_TEST_CASE(malformed_packets_are_counted_by_reason) {
   sendToPort({1, 2, 3});
   const auto index = static_cast<std::size_t>(net::PacketFault::kShort);
   BOOST_TEST(port.counters().faults[index] == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(kept_packets_are_bounded) {
+BOOST_AUTO_TEST_CASE(pending_packets_are_bounded) {
   daemon::PendingPackets pending;
-  for (std::size_t i = 0; i < daemon::kPendingPackets + 10; ++i) {
+  for (std::size_t i = 0; i < daemon::kMaxPendingPackets + 10; ++i) {
     pending.add({static_cast<std::uint8_t>(i)}, now);
   }
   const std::vector<daemon::PendingPackets::Packet> kept = pending.take(now);
-  BOOST_TEST(kept.size() == daemon::kPendingPackets);
+  BOOST_TEST(kept.size() == daemon::kMaxPendingPackets);
   BOOST_TEST(kept.front().bytes[0] == 10);
 }
 
--- a/tests/fuzz/fuzz_packet_head.cc
+++ b/tests/fuzz/fuzz_packet_head.cc
@@ -1,11 +1,11 @@
 /// @file
 /// libFuzzer target: a datagram of the platform, as far as its forward and its refusal.
-#include "platform/packet_head.h"
+#include "platform/packet_header.h"
 
 // NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace cobaltgauge;
-  platform::PacketHead format;
+  platform::PacketHeader format;
   const auto summary = format.read({data, size});
   if (!summary) {
     return 0;
--- a/tests/platform/packet_head_test.cc
+++ b/tests/platform/packet_header_test.cc
@@ -1,4 +1,4 @@
-#include "platform/packet_head.h"
+#include "platform/packet_header.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -16,8 +16,8 @@
           0x64, 0xbb, 0x01, 0x41, 0x9c, 0x01, 0x00, 0x12, 0xc6};
 }
 
-struct HeadFixture {
-  platform::PacketHead format;
+struct HeaderFixture {
+  platform::PacketHeader format;
 
   PacketFault faultOf(const std::vector<std::uint8_t>& packet) {
     BOOST_REQUIRE(!format.read(packet).has_value());
@@ -25,9 +25,9 @@
   }
 };
 
-BOOST_FIXTURE_TEST_SUITE(PacketHeadTest, HeadFixture)
+BOOST_FIXTURE_TEST_SUITE(PacketHeaderTest, HeaderFixture)
 
-BOOST_AUTO_TEST_CASE(reads_an_opening) {
+BOOST_AUTO_TEST_CASE(reads_opening) {
   const std::optional<core::PacketSummary> summary = format.read(opening());
   BOOST_REQUIRE(summary.has_value());
   BOOST_TEST(net::formatEndpoint(summary->flow.source) == "100.64.0.7:40001");
@@ -38,7 +38,7 @@
   BOOST_TEST((summary->token == core::kNoToken));
 }
 
-BOOST_AUTO_TEST_CASE(reads_an_acknowledgement_with_token_and_data) {
+BOOST_AUTO_TEST_CASE(reads_acknowledgement_with_token_and_data) {
   std::vector<std::uint8_t> packet = opening();
   packet[4] = 4;
   packet[5] = 0x78;
@@ -54,7 +54,7 @@
   BOOST_TEST(summary->openingRetransmission == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(refuses_what_is_no_packet) {
+BOOST_AUTO_TEST_CASE(rejects_malformed_packets) {
   std::vector<std::uint8_t> packet = opening();
   packet.pop_back();
   BOOST_TEST((faultOf(packet) == PacketFault::kShort));
@@ -69,7 +69,7 @@
   BOOST_TEST((faultOf(packet) == PacketFault::kLong));
 }
 
-BOOST_AUTO_TEST_CASE(stamps_the_back_ends_id_and_the_token_and_nothing_else) {
+BOOST_AUTO_TEST_CASE(stamp_writes_only_backend_id_and_token) {
   std::vector<std::uint8_t> datagram(8, 0xff);
   const std::vector<std::uint8_t> packet = opening();
   datagram.insert(datagram.end(), packet.begin(), packet.end());
@@ -87,7 +87,7 @@
   BOOST_TEST(std::vector<std::uint8_t>(datagram.begin() + 8, datagram.end()) == expected);
 }
 
-BOOST_AUTO_TEST_CASE(a_refusal_is_the_platforms_reset) {
+BOOST_AUTO_TEST_CASE(refusal_is_a_reset_packet) {
   const std::optional<core::PacketSummary> summary = format.read(opening());
   const std::vector<std::uint8_t> reset = format.refusal(summary->flow, 0);
   const std::vector<std::uint8_t> expected{0x00, 0x00, 0x00, 0x00, 0x01, 0x00, 0x00, 0x00,
@@ -95,9 +95,9 @@
                                            0x00, 0x00, 0x00, 0x01, 0x00, 0x12, 0xc6, 0x41,
                                            0x9c, 0xbb, 0x01, 0x07, 0x00, 0x40, 0x64};
   BOOST_TEST(reset == expected);
-  const core::Endpoint caller =
+  const core::Endpoint client =
       format.callerEndpoint(summary->flow, *net::parseEndpoint("10.1.0.10:8172"));
-  BOOST_TEST(net::formatEndpoint(caller) == "100.64.0.7:8172");
+  BOOST_TEST(net::formatEndpoint(client) == "100.64.0.7:8172");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/platform/store_items_test.cc
+++ b/tests/platform/store_items_test.cc
@@ -52,7 +52,7 @@
 
 BOOST_AUTO_TEST_SUITE(StoreItemsTest)
 
-BOOST_AUTO_TEST_CASE(reads_are_paths_with_queries) {
+BOOST_AUTO_TEST_CASE(reads_become_request_targets) {
   const platform::StoreItems items;
   core::StoreRead read;
   BOOST_TEST(items.target(read) == "/kv-range?path-prefix=");
@@ -66,7 +66,7 @@
   BOOST_TEST(items.target(read) == "/kv-watch?path-prefix=&after=411&wait-ms=300");
 }
 
-BOOST_AUTO_TEST_CASE(parts_of_the_servers_are_told_apart_by_the_digits_of_their_ids) {
+BOOST_AUTO_TEST_CASE(partitions_select_id_prefixes) {
   using Kind = core::ListingRange::Kind;
   const platform::StoreItems items;
   core::StoreRead read;
@@ -84,7 +84,7 @@
   BOOST_TEST(items.target(read) == "/kv-range?path-prefix=servers/&after=servers/i-7f&stale=1");
 }
 
-BOOST_AUTO_TEST_CASE(a_server_becomes_a_registration) {
+BOOST_AUTO_TEST_CASE(server_becomes_registration) {
   const core::StoreReply reply = parseItems(item("servers/i-1fa13cd8c2", kServer));
   BOOST_REQUIRE(reply.changes.size() == 1U);
   BOOST_TEST(reply.revision == 530U);
@@ -118,7 +118,7 @@
   return encode(entry.dump());
 }
 
-BOOST_AUTO_TEST_CASE(a_server_tells_when_it_started) {
+BOOST_AUTO_TEST_CASE(start_time_is_read) {
   const core::StoreReply reply =
       parseItems(item("servers/i-1f", server({{"born", 1'700'000'000'123}})));
   const auto& registration = std::get<core::Registration>(reply.changes.at(0).item);
@@ -126,7 +126,7 @@
 }
 
 // Other writers put entries of any form there; none of them may name a target.
-BOOST_AUTO_TEST_CASE(what_no_target_writes_is_unreadable) {
+BOOST_AUTO_TEST_CASE(invalid_server_fields_are_unreadable) {
   BOOST_TEST(unreadableReason("servers/i-1f", server({{"zone", nullptr}})) == "no field 'zone'");
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"capacity", nullptr}})).empty());
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"capacity", -1}})).empty());
@@ -139,7 +139,7 @@
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"zone", 7}})).empty());
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_tells_of_requests_and_services) {
+BOOST_AUTO_TEST_CASE(configuration_has_request_and_service_traits) {
   // {"version":7,"routes":[{"name":"r","host":"198.18.0.1","path-prefix":"/8443/","service":"web",
   //  "type":"unsafe","timeout-ms":3000,"latency-goal-ms":250.0,"priority":2,
   //  "allowed-regions":["north"]}],
@@ -163,7 +163,7 @@
   BOOST_TEST(set.services.at(1).warmUpRateLimit == 0.0);
 }
 
-BOOST_AUTO_TEST_CASE(an_evacuation_names_its_zone_in_its_key) {
+BOOST_AUTO_TEST_CASE(evacuation_zone_is_read_from_key) {
   // {} as base64.
   const core::StoreReply reply = parseItems(item("op/evacuate/hall-c", "e30="));
   BOOST_REQUIRE(reply.changes.size() == 1U);
@@ -172,7 +172,7 @@
   BOOST_TEST(unreadableReason("op/evacuate/", "e30=") == "an evacuation names no zone");
 }
 
-BOOST_AUTO_TEST_CASE(a_configuration_becomes_routes) {
+BOOST_AUTO_TEST_CASE(configuration_becomes_routes) {
   const core::StoreReply reply = parseItems(item("op/config", kConfig));
   const auto& routes = std::get<core::RouteSet>(reply.changes.at(0).item);
   BOOST_TEST(routes.version == 7U);
@@ -183,7 +183,7 @@
   BOOST_TEST(routes.routes[1].targets[0].service == "api");
 }
 
-BOOST_AUTO_TEST_CASE(events_carry_removals_and_other_keys_are_skipped) {
+BOOST_AUTO_TEST_CASE(events_report_removals_and_other_keys_are_skipped) {
   const core::StoreReply reply =
       parse(200, R"({"events":[{"key":"servers/i-1","revision":5,"gone":true},
                         {"key":"other/x","revision":6,"value":""}],"at":6})");
@@ -192,7 +192,7 @@
   BOOST_TEST(reply.lastKey == "other/x");
 }
 
-BOOST_AUTO_TEST_CASE(an_unreadable_item_says_why) {
+BOOST_AUTO_TEST_CASE(unreadable_item_has_reason) {
   BOOST_TEST(unreadableReason("servers/i-1", "???") == "value is no base64");
   BOOST_TEST(unreadableReason("servers/i-xyz", kServer) == "id is no hexadecimal number");
   BOOST_TEST(!unreadableReason("servers/i-1", "e30=").empty());
@@ -200,7 +200,7 @@
   BOOST_TEST(!unreadableReason("op/config", "bm8=").empty());
 }
 
-BOOST_AUTO_TEST_CASE(statuses_are_told_apart) {
+BOOST_AUTO_TEST_CASE(statuses_map_to_outcomes) {
   BOOST_TEST((parse(410, "").outcome == ReadOutcome::kHistoryGone));
   BOOST_TEST((parse(429, "").outcome == ReadOutcome::kThrottled));
   BOOST_TEST((parse(503, "").outcome == ReadOutcome::kUnavailable));
@@ -208,7 +208,7 @@
   BOOST_TEST((parse(200, "{}").outcome == ReadOutcome::kMalformed));
 }
 
-BOOST_AUTO_TEST_CASE(every_answer_tells_which_copy_of_the_store_gave_it) {
+BOOST_AUTO_TEST_CASE(store_era_is_read_from_every_response) {
   const platform::StoreItems items;
   const auto eraOf = [&items](int status, const std::string& era) {
     return items
@@ -221,7 +221,7 @@
   BOOST_TEST((parse(200, R"({"items":[],"at":5})").revision.era == core::StoreEra{0}));
 }
 
-BOOST_AUTO_TEST_CASE(an_era_that_is_no_number_makes_the_answer_unusable) {
+BOOST_AUTO_TEST_CASE(invalid_store_era_makes_response_malformed) {
   const platform::StoreItems items;
   for (const std::string era : {"x", "-1", "3x", "99999999999999999999"}) {
     const core::StoreReply reply =
@@ -239,7 +239,7 @@
 
 // Reading a configuration of 840 routes in JSON took 8 ms, half a second on a machine of 0.017
 // cores that had just lost power (cflc-quotes-grown, trouble-1).
-BOOST_AUTO_TEST_CASE(answers_in_msgpack_read_like_those_in_json) {
+BOOST_AUTO_TEST_CASE(msgpack_and_json_responses_are_equivalent) {
   const std::string text = R"({"items":[)" + item("op/config", kConfig) + "," +
                            item("servers/i-7f", kServer) + R"(],"has-more":true,"at":530})";
   const core::StoreReply json = parse(200, text);
@@ -253,21 +253,21 @@
               std::get<core::Registration>(json.changes[1].item)));
 }
 
-BOOST_AUTO_TEST_CASE(msgpack_that_is_cut_or_lies_about_sizes_is_malformed) {
-  const std::string whole = asMsgpack(R"({"events":[],"at":530})");
-  BOOST_TEST((parse(200, whole).outcome == ReadOutcome::kAnswered));
-  for (std::size_t size = 0; size < whole.size(); ++size) {
-    const core::StoreReply reply = parse(200, whole.substr(0, size));
+BOOST_AUTO_TEST_CASE(truncated_or_oversized_msgpack_is_malformed) {
+  const std::string complete = asMsgpack(R"({"events":[],"at":530})");
+  BOOST_TEST((parse(200, complete).outcome == ReadOutcome::kAnswered));
+  for (std::size_t size = 0; size < complete.size(); ++size) {
+    const core::StoreReply reply = parse(200, complete.substr(0, size));
     BOOST_TEST((reply.outcome == ReadOutcome::kMalformed));
   }
-  const std::vector<std::string> liars{
+  const std::vector<std::string> malformed{
       "\xdd\xff\xff\xff\xff",                               // A list of 4 billion.
       "\xdf\xff\xff\xff\xff",                               // A table of 4 billion.
       std::string(1000, '\x91'),                            // Lists in lists.
-      whole + whole,                                        // Two documents.
+      complete + complete,                                  // Two documents.
       std::string("\x81\xa2").append("at").append("\xff"),  // A negative revision.
   };
-  for (const std::string& bytes : liars) {
+  for (const std::string& bytes : malformed) {
     const core::StoreReply reply = parse(200, bytes);
     BOOST_TEST((reply.outcome == ReadOutcome::kMalformed));
     BOOST_TEST(!reply.reason.empty());
