--- a/tests/platform/store_items_test.cc
+++ b/tests/platform/store_items_test.cc
@@ -12,7 +12,7 @@
 
 using core::ReadOutcome;
 
-// Values of the items below, as base64:
+// Item values, encoded as base64:
 // {"service":"web","address":"10.128.0.9:8080","zone":"a","version":"v1","capacity":2,
 //  "state":"ready","warmup-left-ms":700,"sequence":4}
 constexpr const char* kServer =
@@ -108,7 +108,7 @@
   return encoded;
 }
 
-/// @return a server's entry as text, some of whose fields are replaced or left out (null).
+/// @return a server entry as base64, with some fields replaced or, if null, removed.
 std::string server(const nlohmann::json& changes) {
   nlohmann::json entry = {{"service", "web"}, {"address", "10.128.0.9:8080"},
                           {"zone", "a"},      {"version", "v1"},
@@ -125,14 +125,15 @@
   BOOST_TEST(registration.startedAtMs == 1'700'000'000'123U);
 }
 
-// Other writers put entries of any form there; none of them may name a target.
+// Entries of other writers can have any form; none of them may become a registration.
 BOOST_AUTO_TEST_CASE(invalid_server_fields_are_unreadable) {
-  BOOST_TEST(unreadableReason("servers/i-1f", server({{"zone", nullptr}})) == "no field 'zone'");
+  BOOST_TEST(unreadableReason("servers/i-1f", server({{"zone", nullptr}})) ==
+             "missing field 'zone'");
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"capacity", nullptr}})).empty());
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"capacity", -1}})).empty());
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"capacity", "two"}})).empty());
   BOOST_TEST(unreadableReason("servers/i-1f", server({{"capacity", 4294967297}})) ==
-             "capacity 4294967297 is above 1048576");
+             "capacity 4294967297 exceeds the maximum 1048576");
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"warmup-left-ms", 1e18}})).empty());
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"born", "today"}})).empty());
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"state", "asleep"}})).empty());
@@ -164,12 +165,12 @@
 }
 
 BOOST_AUTO_TEST_CASE(evacuation_zone_is_read_from_key) {
-  // {} as base64.
+  // The value is {} as base64.
   const core::StoreReply reply = parseItems(item("op/evacuate/hall-c", "e30="));
   BOOST_REQUIRE(reply.changes.size() == 1U);
   BOOST_TEST(reply.changes[0].key == "op/evacuate/hall-c");
   BOOST_TEST(std::get<core::ZoneEvacuation>(reply.changes[0].item).zone == "hall-c");
-  BOOST_TEST(unreadableReason("op/evacuate/", "e30=") == "an evacuation names no zone");
+  BOOST_TEST(unreadableReason("op/evacuate/", "e30=") == "evacuation key has no zone name");
 }
 
 BOOST_AUTO_TEST_CASE(configuration_becomes_routes) {
@@ -193,8 +194,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(unreadable_item_has_reason) {
-  BOOST_TEST(unreadableReason("servers/i-1", "???") == "value is no base64");
-  BOOST_TEST(unreadableReason("servers/i-xyz", kServer) == "id is no hexadecimal number");
+  BOOST_TEST(unreadableReason("servers/i-1", "???") == "value is not valid base64");
+  BOOST_TEST(unreadableReason("servers/i-xyz", kServer) == "id is not a hexadecimal number");
   BOOST_TEST(!unreadableReason("servers/i-1", "e30=").empty());
   BOOST_TEST(!unreadableReason("op/config", "e30=").empty());
   BOOST_TEST(!unreadableReason("op/config", "bm8=").empty());
@@ -227,18 +228,17 @@
     const core::StoreReply reply =
         items.parse({net::HttpFailure::kNone, 200, {{"store-era", era}}, R"({"items":[],"at":5})"});
     BOOST_TEST((reply.outcome == ReadOutcome::kMalformed));
-    BOOST_TEST(reply.reason == "era '" + era + "' is no number");
+    BOOST_TEST(reply.reason == "store era '" + era + "' is not a number");
   }
 }
 
-/// @return the JSON text as msgpack.
+/// @return the JSON text converted to MessagePack.
 std::string asMsgpack(const std::string& text) {
   const std::vector<std::uint8_t> bytes = nlohmann::json::to_msgpack(nlohmann::json::parse(text));
   return {bytes.begin(), bytes.end()};
 }
 
-// Reading a configuration of 840 routes in JSON took 8 ms, half a second on a machine of 0.017
-// cores that had just lost power (cflc-quotes-grown, trouble-1).
+// Guards against differences between the two encodings of a response.
 BOOST_AUTO_TEST_CASE(msgpack_and_json_responses_are_equivalent) {
   const std::string text = R"({"items":[)" + item("op/config", kConfig) + "," +
                            item("servers/i-7f", kServer) + R"(],"has-more":true,"at":530})";
@@ -261,9 +261,9 @@
     BOOST_TEST((reply.outcome == ReadOutcome::kMalformed));
   }
   const std::vector<std::string> malformed{
-      "\xdd\xff\xff\xff\xff",                               // A list of 4 billion.
-      "\xdf\xff\xff\xff\xff",                               // A table of 4 billion.
-      std::string(1000, '\x91'),                            // Lists in lists.
+      "\xdd\xff\xff\xff\xff",                               // An array of 4 billion elements.
+      "\xdf\xff\xff\xff\xff",                               // A map of 4 billion elements.
+      std::string(1000, '\x91'),                            // Arrays nested too deeply.
       complete + complete,                                  // Two documents.
       std::string("\x81\xa2").append("at").append("\xff"),  // A negative revision.
   };
