--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -11,11 +11,11 @@
 using Sources = TokenMetricSources;
 using Definition = MetricDefinition<Sources>;
 
-/// Upper bounds in seconds, from a packet inside a zone to the longest that a caller waits.
+/// Upper bounds in seconds, from the latency inside a zone to the longest client timeout.
 const prometheus::Histogram::BucketBoundaries kLatencyBounds{0.001, 0.002, 0.005, 0.01, 0.02, 0.05,
                                                              0.1,   0.2,   0.5,   1.0,  2.0,  5.0};
 
-/// @return kinds of message that were sent at all.
+/// @return the bytes of each message kind that was sent.
 std::vector<MetricSample> messageBytes(const net::PeerTransportCounters& counters) {
   std::vector<MetricSample> samples;
   for (std::size_t kind = 0; kind < counters.bytesSentOf.size(); ++kind) {
@@ -48,7 +48,7 @@
   return samples;
 }
 
-/// @return a sample for each service and zone with a value, labelled SERVICE/ZONE.
+/// @return a sample for each service and zone that has a value, labelled SERVICE/ZONE.
 template <typename Value>
 std::vector<MetricSample> byZone(const Sources& sources, Value valueOf) {
   const core::BackendRegistry& backends = sources.steering.backends();
@@ -65,10 +65,10 @@
   static const std::vector<Definition> kDefinitions{
       {"cobaltgauge_packets_received_total", "Datagrams that arrived at the data socket", nullptr,
        MetricType::Counter, [](const Sources& s) { return single(s.packets.counters().received); }},
-      {"cobaltgauge_packets_to_backends_total", "Packets sent to back ends", nullptr,
+      {"cobaltgauge_packets_to_backends_total", "Packets sent to backends", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.packets.counters().sentToBackends); }},
-      {"cobaltgauge_packets_routed_total", "Packets routed, by the rule that chose", "reason",
+      {"cobaltgauge_packets_routed_total", "Packets routed, by routing rule", "reason",
        MetricType::Counter,
        [](const Sources& s) { return byReason<core::RouteReason>(s.steering.counters().routed); }},
       {"cobaltgauge_packets_dropped_total", "Packets dropped by the core", "reason",
@@ -78,43 +78,43 @@
        [](const Sources& s) {
          return byReason<core::RefuseReason>(s.steering.counters().refused);
        }},
-      {"cobaltgauge_packet_faults_total", "Datagrams that are no packet of the format", "reason",
-       MetricType::Counter,
+      {"cobaltgauge_packet_faults_total", "Malformed datagrams", "reason", MetricType::Counter,
        [](const Sources& s) { return byReason<net::PacketFault>(s.packets.counters().faults); }},
-      {"cobaltgauge_packets_retried_total", "Packets decided again after the view had changed",
+      {"cobaltgauge_packets_retried_total", "Packets reprocessed after a change of the view",
        nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.packets.counters().retried); }},
-      {"cobaltgauge_refusals_sent_total", "Refusals and resets sent to callers", nullptr,
+      {"cobaltgauge_refusals_sent_total", "Refusals and resets sent to clients", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.packets.counters().refusalsSent); }},
-      {"cobaltgauge_data_send_errors_total", "Packets the kernel would not send", nullptr,
+      {"cobaltgauge_data_send_errors_total", "Packets that the kernel failed to send", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.packets.counters().sendErrors); }},
-      {"cobaltgauge_open_flows", "Flows that passed here and are open", nullptr, MetricType::Gauge,
+      {"cobaltgauge_open_flows", "Open flows known to this daemon", nullptr, MetricType::Gauge,
        [](const Sources& s) { return single(s.steering.flows().size()); }},
-      {"cobaltgauge_flow_evictions_total", "Open flows that the table had to forget", nullptr,
+      {"cobaltgauge_flow_evictions_total", "Open flows evicted from the flow table", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.steering.flows().evictions()); }},
-      {"cobaltgauge_backends_known", "Back ends reachable by token, departed ones too", nullptr,
-       MetricType::Gauge, [](const Sources& s) { return single(s.steering.backends().size()); }},
-      {"cobaltgauge_backends_active", "Back ends that take new flows", nullptr, MetricType::Gauge,
+      {"cobaltgauge_backends_known", "Backends that tokens can address, including removed ones",
+       nullptr, MetricType::Gauge,
+       [](const Sources& s) { return single(s.steering.backends().size()); }},
+      {"cobaltgauge_backends_active", "Backends that accept new flows", nullptr, MetricType::Gauge,
        [](const Sources& s) { return single(s.steering.backends().activeCount()); }},
-      {"cobaltgauge_backend_probes_total", "Connections opened to silent back ends", nullptr,
+      {"cobaltgauge_backend_probes_total", "Probes of unresponsive backends", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.steering.health().counters().probes); }},
-      {"cobaltgauge_backends_declared_dead_total", "Back ends whose flows were given up", nullptr,
+      {"cobaltgauge_backends_declared_dead_total", "Backends whose flows were reset", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.steering.health().counters().declaredDead); }},
-      {"cobaltgauge_backend_probes_unproven_total",
-       "Probes without an answer that prove nothing, since no witness answered either", nullptr,
-       MetricType::Counter,
+      {"cobaltgauge_backend_probes_unproven_total", "Inconclusive probes of unresponsive backends",
+       nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.steering.health().counters().unproven); }},
-      {"cobaltgauge_routes_version", "Configuration version in force", nullptr, MetricType::Gauge,
+      {"cobaltgauge_routes_version", "Active configuration version", nullptr, MetricType::Gauge,
        [](const Sources& s) { return single(s.steering.routes().version()); }},
-      {"cobaltgauge_store_revision", "Store revision up to which changes are known", nullptr,
-       MetricType::Gauge, [](const Sources& s) { return single(s.reader.revision().number); }},
-      {"cobaltgauge_store_era", "Copy of the store that answered last; rises where one came back",
-       nullptr, MetricType::Gauge,
+      {"cobaltgauge_store_revision", "Store revision of the view", nullptr, MetricType::Gauge,
+       [](const Sources& s) { return single(s.reader.revision().number); }},
+      {"cobaltgauge_store_era",
+       "Era of the store; increases when the store is restored from an older copy", nullptr,
+       MetricType::Gauge,
        [](const Sources& s) { return single(static_cast<std::uint64_t>(s.reader.storeEra())); }},
       {"cobaltgauge_store_reads_total", "Reads of the store, by kind", "kind", MetricType::Counter,
        [](const Sources& s) {
@@ -122,10 +122,10 @@
              {"list", static_cast<double>(s.reader.counters().lists)},
              {"watch", static_cast<double>(s.reader.counters().watches)}};
        }},
-      {"cobaltgauge_store_failures_total", "Reads of the store that failed", nullptr,
+      {"cobaltgauge_store_failures_total", "Failed reads of the store", nullptr,
        MetricType::Counter, [](const Sources& s) { return single(s.reader.counters().failures); }},
-      {"cobaltgauge_store_history_gone_total", "Watches that began before the store's history",
-       nullptr, MetricType::Counter,
+      {"cobaltgauge_store_history_gone_total",
+       "Watches from revisions older than the history of the store", nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.reader.counters().historyGone); }},
       {"cobaltgauge_peers_known", "Daemons that can be asked for their view", nullptr,
        MetricType::Gauge,
@@ -133,23 +133,23 @@
       {"cobaltgauge_view_requests_total", "Requests for a view sent to peers", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetExchange().counters().requestsSent); }},
-      {"cobaltgauge_views_answered_total", "Requests of peers for the view answered", nullptr,
+      {"cobaltgauge_views_answered_total", "View requests of peers answered", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetExchange().counters().requestsAnswered); }},
-      {"cobaltgauge_views_taken_total", "Views taken from peers", nullptr, MetricType::Counter,
+      {"cobaltgauge_views_taken_total", "Views of peers applied", nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetExchange().counters().viewsTaken); }},
-      {"cobaltgauge_view_whole", "1 where the view holds every back end, 0 while it is a sample",
+      {"cobaltgauge_view_whole", "1 if the view contains every backend, 0 if it is a sample",
        nullptr, MetricType::Gauge,
        [](const Sources& s) { return single(s.reader.hasAllBackends()); }},
-      {"cobaltgauge_view_pages_given_total", "Pages of missing back ends given to peers", nullptr,
+      {"cobaltgauge_view_pages_given_total", "Backfill pages sent to peers", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetBackfill().GetCounters().PagesSent); }},
-      {"cobaltgauge_view_pages_refused_total", "Requests of peers for a page that got none",
-       nullptr, MetricType::Counter,
+      {"cobaltgauge_view_pages_refused_total", "Backfill requests of peers refused", nullptr,
+       MetricType::Counter,
        [](const Sources& s) {
          return single(s.peers.GetBackfill().GetCounters().RequestsRefused);
        }},
-      {"cobaltgauge_view_pages_taken_total", "Pages of missing back ends taken from peers", nullptr,
+      {"cobaltgauge_view_pages_taken_total", "Backfill pages of peers applied", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetBackfill().GetCounters().PagesApplied); }},
       {"cobaltgauge_reads_store", "1 while this daemon reads the store, 0 while it follows a peer",
@@ -160,36 +160,38 @@
       {"cobaltgauge_view_updates_sent_total", "Updates of the view sent to followers", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().UpdatesSent); }},
-      {"cobaltgauge_view_updates_taken_total", "Updates of peers that changed the view", nullptr,
+      {"cobaltgauge_view_updates_taken_total", "Updates of peers applied to the view", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().UpdatesApplied); }},
-      {"cobaltgauge_view_gaps_total", "Updates of peers that the view lacked the base for", nullptr,
-       MetricType::Counter,
+      {"cobaltgauge_view_gaps_total",
+       "Updates of peers whose base revision was missing in the view", nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().Gaps); }},
       {"cobaltgauge_store_takeovers_total",
-       "Times this daemon began to read the store since no peer's view was fresh", nullptr,
+       "Times this daemon started to read the store because no peer had a current view", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetRelay().GetCounters().ReadsStarted); }},
-      {"cobaltgauge_late_answers_total", "Answers overdue, and back ends found dead", nullptr,
+      {"cobaltgauge_late_answers_total", "Late responses and failed backends", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetOutliers().GetCounters().LateAnswers); }},
-      {"cobaltgauge_late_answers_withheld_total", "Late answers blamed on this daemon itself",
-       nullptr, MetricType::Counter,
+      {"cobaltgauge_late_answers_withheld_total",
+       "Late responses not reported because this daemon was the likely cause", nullptr,
+       MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetOutliers().GetCounters().Withheld); }},
-      {"cobaltgauge_outliers", "Back ends that come last for new flows", nullptr, MetricType::Gauge,
+      {"cobaltgauge_outliers", "Outlier backends, which are deprioritized for new flows", nullptr,
+       MetricType::Gauge,
        [](const Sources& s) { return single(s.peers.GetOutliers().CountOutliers()); }},
-      {"cobaltgauge_outliers_found_total", "Outliers found by this daemon", nullptr,
+      {"cobaltgauge_outliers_found_total", "Outliers detected by this daemon", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetOutliers().GetCounters().Found); }},
-      {"cobaltgauge_openings_wanted_total", "Openings that were to be placed, by service and rank",
+      {"cobaltgauge_openings_wanted_total", "Offered openings, by service and priority",
        "service_rank", MetricType::Counter,
        [](const Sources& s) { return byPriority(s.admission, &core::PriorityCounters::Offered); }},
       {"cobaltgauge_openings_no_room_total",
-       "Of those, refused since back ends are full, by service and rank", "service_rank",
-       MetricType::Counter,
+       "Offered openings refused because backends are overloaded, by service and priority",
+       "service_rank", MetricType::Counter,
        [](const Sources& s) { return byPriority(s.admission, &core::PriorityCounters::Refused); }},
       {"cobaltgauge_openings_limit_per_second",
-       "Openings that are let in while back ends are full; 0: no limit", "service",
+       "Admission limit while backends are overloaded; 0 means no limit", "service",
        MetricType::Gauge,
        [](const Sources& s) {
          std::vector<MetricSample> samples;
@@ -198,7 +200,7 @@
          }
          return samples;
        }},
-      {"cobaltgauge_opening_ends_total", "Ends of openings that were placed here", "outcome",
+      {"cobaltgauge_opening_ends_total", "Completed openings of this daemon, by outcome", "outcome",
        MetricType::Counter,
        [](const Sources& s) {
          std::vector<MetricSample> samples;
@@ -209,7 +211,7 @@
          }
          return samples;
        }},
-      {"cobaltgauge_opening_ends_unseen_total", "Openings placed here whose end was not seen",
+      {"cobaltgauge_opening_ends_unseen_total", "Openings of this daemon whose outcome is unknown",
        nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.steering.outcomes().GetCounters().Discarded); }},
       {"cobaltgauge_load_in_flight", "Requests in flight in the fleet, by service/zone", "zone",
@@ -219,33 +221,34 @@
            return std::optional<double>(s.peers.GetLoad().GetLoad(key).InFlight);
          });
        }},
-      {"cobaltgauge_load_slots", "Slots of back ends that take openings, by service/zone", "zone",
+      {"cobaltgauge_load_slots", "Slots of backends that accept openings, by service/zone", "zone",
        MetricType::Gauge,
        [](const Sources& s) {
          return byZone(s, [](const core::LoadKey&, std::uint32_t slots) {
            return std::optional<double>(slots);
          });
        }},
-      {"cobaltgauge_load_utilization", "In flight for each slot, by service/zone; none where old",
-       "zone", MetricType::Gauge,
+      {"cobaltgauge_load_utilization",
+       "Requests in flight per slot, by service/zone; absent if outdated", "zone",
+       MetricType::Gauge,
        [](const Sources& s) {
          return byZone(s, [&s](const core::LoadKey& key, std::uint32_t) -> std::optional<double> {
            const auto capacity = s.peers.GetLoad().GetZoneCapacity(key.first, key.second, s.now);
            return capacity ? std::optional(capacity->Utilization) : std::nullopt;
          });
        }},
-      {"cobaltgauge_load_age_milliseconds", "Age of the oldest part of the load figures", nullptr,
+      {"cobaltgauge_load_age_milliseconds", "Age of the oldest load statistics", nullptr,
        MetricType::Gauge,
        [](const Sources& s) {
          const std::optional<core::Duration> age = s.peers.GetLoad().GetAge(s.now);
          return age ? single(static_cast<std::uint64_t>(*age / std::chrono::milliseconds(1)))
                     : std::vector<MetricSample>{};
        }},
-      {"cobaltgauge_load_daemons", "Daemons whose load the figures hold", nullptr,
+      {"cobaltgauge_load_daemons", "Daemons included in the load statistics", nullptr,
        MetricType::Gauge,
        [](const Sources& s) { return single(s.peers.GetLoad().CountDaemons()); }},
-      {"cobaltgauge_load_messages_total", "Reports and summaries of load, by what became of them",
-       "kind", MetricType::Counter,
+      {"cobaltgauge_load_messages_total", "Load reports and summaries, by kind and result", "kind",
+       MetricType::Counter,
        [](const Sources& s) {
          const core::FleetLoadCounters& counters = s.peers.GetLoad().GetCounters();
          return std::vector<MetricSample>{
@@ -254,59 +257,58 @@
              {"report_ignored", static_cast<double>(counters.ReportsIgnored)},
              {"summary_taken", static_cast<double>(counters.SummariesAccepted)}};
        }},
-      {"cobaltgauge_zones_evacuated", "Zones whose back ends get no new flow", nullptr,
-       MetricType::Gauge,
+      {"cobaltgauge_zones_evacuated", "Evacuated zones", nullptr, MetricType::Gauge,
        [](const Sources& s) {
          return single(s.steering.backends().evacuations().GetZones().size());
        }},
       {"cobaltgauge_openings_spilled_total",
-       "Openings placed outside the zone that the policy prefers, which had too little room",
-       nullptr, MetricType::Counter,
+       "Openings placed outside the preferred zone for lack of capacity", nullptr,
+       MetricType::Counter,
        [](const Sources& s) { return single(s.steering.spill().CountSpilled()); }},
-      {"cobaltgauge_zone_kept_share",
-       "Share of a zone's openings that stays there, of the service that keeps least", "zone",
-       MetricType::Gauge, [](const Sources& s) { return localShares(s.steering); }},
+      {"cobaltgauge_zone_kept_share", "Local share of a zone's openings, minimum over its services",
+       "zone", MetricType::Gauge, [](const Sources& s) { return localShares(s.steering); }},
       {"cobaltgauge_peer_streams_given_up_total",
-       "Connections between daemons that did not carry their message in time", nullptr,
+       "Connections between daemons that timed out before their message was transferred", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetTransportCounters().streamsGivenUp); }},
       {"cobaltgauge_peer_bytes_sent_total", "Bytes sent to other daemons", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetTransportCounters().bytesSent); }},
-      {"cobaltgauge_peer_message_bytes_sent_total", "The same by kind of message", "kind",
-       MetricType::Counter,
+      {"cobaltgauge_peer_message_bytes_sent_total", "Bytes sent to other daemons, by message kind",
+       "kind", MetricType::Counter,
        [](const Sources& s) { return messageBytes(s.peers.GetTransportCounters()); }},
       {"cobaltgauge_log_lines_dropped_total", "Log lines dropped because the buffer was full",
        nullptr, MetricType::Counter, [](const Sources&) { return single(droppedLogLines()); }},
-      {"cobaltgauge_ready", "1 while this daemon asks for packets", nullptr, MetricType::Gauge,
-       [](const Sources& s) { return single(s.ready ? 1 : 0); }},
-      {"cobaltgauge_serving", "1 while this daemon does not know that it reaches no back end",
-       nullptr, MetricType::Gauge,
+      {"cobaltgauge_ready", "1 if this daemon is ready to receive packets", nullptr,
+       MetricType::Gauge, [](const Sources& s) { return single(s.ready ? 1 : 0); }},
+      {"cobaltgauge_serving",
+       "0 if this daemon has determined that it can reach no backend, otherwise 1", nullptr,
+       MetricType::Gauge,
        [](const Sources& s) { return single(s.steering.serving().IsServing() ? 1 : 0); }},
-      {"cobaltgauge_serving_changes_total", "Changes of whether back ends are reached", "to",
+      {"cobaltgauge_serving_changes_total", "Changes of the serving state", "to",
        MetricType::Counter,
        [](const Sources& s) {
          const core::ServingCounters& counters = s.steering.serving().GetCounters();
          return std::vector<MetricSample>{{"out", static_cast<double>(counters.StoppedServing)},
                                           {"in", static_cast<double>(counters.ResumedServing)}};
        }},
-      {"cobaltgauge_groups_silent", "Groups whose back ends come last together", nullptr,
+      {"cobaltgauge_groups_silent", "Unreachable groups, whose backends are deprioritized", nullptr,
        MetricType::Gauge,
        [](const Sources& s) { return single(s.steering.silentGroups().CountUnreachable(s.now)); }},
-      {"cobaltgauge_groups_found_silent_total", "Groups found silent by this daemon", nullptr,
-       MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Detected); }},
-      {"cobaltgauge_groups_ended_total", "Silent groups that an answer or a connection ended",
+      {"cobaltgauge_groups_found_silent_total", "Unreachable groups detected by this daemon",
        nullptr, MetricType::Counter,
+       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Detected); }},
+      {"cobaltgauge_groups_ended_total", "Unreachable groups that recovered", nullptr,
+       MetricType::Counter,
        [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Recovered); }},
-      {"cobaltgauge_group_probes_total", "Connections opened to neighbours of silent back ends",
+      {"cobaltgauge_group_probes_total", "Probes of backends in the groups of unresponsive ones",
        nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Probes); }},
-      {"cobaltgauge_group_notices_total", "Notices of silent groups that were probed here", nullptr,
-       MetricType::Counter,
+      {"cobaltgauge_group_notices_total", "Notices of unreachable groups probed by this daemon",
+       nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Notices); }},
-      {"cobaltgauge_reach_probes_total",
-       "Connections opened to learn whether any back end is reached", nullptr, MetricType::Counter,
+      {"cobaltgauge_reach_probes_total", "Probes that check whether any backend is reachable",
+       nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.steering.serving().GetCounters().Probes); }}};
   return kDefinitions;
 }
@@ -334,14 +336,14 @@
 }
 
 std::vector<prometheus::MetricFamily> LatencyHistograms::collect() const {
-  return {
-      family("cobaltgauge_opening_seconds",
-             "From placing an opening to the caller's first packet after the answer", openings_),
-      family("cobaltgauge_answer_seconds",
-             "From a caller's new data to its first acknowledgement of new bytes",
-             acknowledgements_),
-      family("cobaltgauge_store_list_seconds", "Time of one page of the store's listing",
-             storeReads_)};
+  return {family("cobaltgauge_opening_seconds",
+                 "From placing an opening to the first packet of the client after the response",
+                 openings_),
+          family("cobaltgauge_answer_seconds",
+                 "From new data of a client to its first acknowledgement of new bytes",
+                 acknowledgements_),
+          family("cobaltgauge_store_list_seconds", "Duration of one page of a store listing",
+                 storeReads_)};
 }
 
 std::string tokenMetricsText(const TokenMetricSources& sources) {
--- a/src/daemon/token_metrics.h
+++ b/src/daemon/token_metrics.h
@@ -1,6 +1,5 @@
 /// @file
-/// Metrics of token steering in the Prometheus text format; docs/METRICS.md repeats the table for
-/// operators.
+/// Metrics of token steering in the Prometheus text format, documented in docs/METRICS.md.
 #pragma once
 
 #include <prometheus/histogram.h>
@@ -25,7 +24,7 @@
   void onDataAcknowledged(core::Duration latency) override;
   void onStoreReply(core::Duration latency);
 
-  /// @return one family for each histogram.
+  /// @return one metric family per histogram.
   std::vector<prometheus::MetricFamily> collect() const;
 
  private:
@@ -34,7 +33,7 @@
   prometheus::Histogram storeReads_;
 };
 
-/// Where the values are read from.
+/// The objects that the values are read from.
 struct TokenMetricSources {
   const core::TokenSteering& steering;
   const core::StoreReader& reader;
@@ -46,7 +45,7 @@
   core::Time now{};
 };
 
-/// @return all metrics as text.
+/// @return all metrics in the text format.
 std::string tokenMetricsText(const TokenMetricSources& sources);
 
 }  // namespace cobaltgauge::daemon
