--- a/src/daemon/backend_prober.h
+++ b/src/daemon/backend_prober.h
@@ -1,5 +1,5 @@
 /// @file
-/// Probes back ends by opening connections and closing them again, on the daemon's event loop.
+/// Probes backends by opening and closing connections, on the event loop of the daemon.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -19,8 +19,9 @@
   BackendProber(asio::io_context& context, Handler handler)
       : context_(context), handler_(std::move(handler)) {}
 
-  /// Starts a probe; the handler is called once with its result.
-  /// @param witnesses are connected to beside a back end that does not answer at once.
+  /// Starts a probe. The handler is called once with the result.
+  /// @param witnesses reference backends, which are probed too if the backend does not respond to
+  /// the first connection attempt.
   void probe(const core::BackendAddress& backend, std::vector<core::Endpoint> witnesses);
 
  private:
@@ -30,7 +31,7 @@
   void runStep(const std::shared_ptr<ActiveProbe>& probe);
   void connect(const std::shared_ptr<ActiveProbe>& probe, const core::Endpoint& endpoint,
                ConnectHandler handler);
-  /// Tells the result and ends the trial, once there is one.
+  /// Ends the probe and reports its result as soon as there is one.
   void finishIfDone(const std::shared_ptr<ActiveProbe>& probe);
 
   asio::io_context& context_;
--- a/src/daemon/backend_probes.h
+++ b/src/daemon/backend_probes.h
@@ -1,6 +1,6 @@
 /// @file
-/// Carries out what the steering wants to learn of back ends, and tells callers, peers and the log
-/// what it came to believe.
+/// Executes the probes and resets that the steering has requested, and reports reachability
+/// changes to peers and the log.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -17,14 +17,13 @@
 
 class BackendProbes {
  public:
-  /// All references outlive the probes. @param reader tells the revision of the view, for logs.
+  /// All references must outlive this object. @param reader provides the view revision for logs.
   BackendProbes(asio::io_context& context, core::TokenSteering& steering, PacketPort& packets,
                 PeerLink& peers, const core::StoreReader& reader);
 
-  /// Starts the probes and sends the resets that the steering wants, of single back ends and of
-  /// failure domains.
+  /// Starts pending probes of backends and failure domains, and sends pending resets.
   void executePending(core::Time now);
-  /// The same for failure domains alone.
+  /// Like executePending(), but for failure domains only.
   void executePendingForDomains(core::Time now);
 
  private:
--- a/src/daemon/connect_prober.cc
+++ b/src/daemon/connect_prober.cc
@@ -39,7 +39,7 @@
     } else if (error == asio::error::connection_refused || error == asio::error::connection_reset) {
       finish(core::ProbeResult::kRefused);
     } else {
-      finish(core::ProbeResult::kUnproven);  // By this machine's own doing.
+      finish(core::ProbeResult::kUnproven);  // Local error.
     }
   });
 }
--- a/src/daemon/connect_prober.h
+++ b/src/daemon/connect_prober.h
@@ -1,6 +1,6 @@
 /// @file
-/// Learns whether back ends are reached by opening one connection and closing it again, on the
-/// daemon's event loop. It proves no death: see backend_prober.h.
+/// Checks whether backends are reachable by opening and closing a single connection, on the event
+/// loop of the daemon. This does not prove that a backend has failed; see backend_prober.h.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -19,7 +19,7 @@
   ConnectProber(asio::io_context& context, core::Duration timeout, Handler handler)
       : context_(context), timeout_(timeout), handler_(std::move(handler)) {}
 
-  /// Starts a probe; the handler is called once with its result.
+  /// Starts a probe. The handler is called once with the result.
   void probe(const core::BackendAddress& backend);
 
  private:
--- a/src/daemon/load_page.h
+++ b/src/daemon/load_page.h
@@ -1,5 +1,5 @@
 /// @file
-/// The page that tells operators how much room there is, as this daemon sees it.
+/// Admin page with the load and capacity of the fleet, as known to this daemon.
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace cobaltgauge::daemon {
 
-/// @return the page as JSON: load, slots and utilisation by service and zone, and their age.
+/// @return JSON with load, slots and utilization by service and zone, and the age of the data.
 std::string loadPage(const core::FleetLoad& load, const core::BackendRegistry& backends,
                      core::Time now);
 
--- a/src/daemon/packet_port.cc
+++ b/src/daemon/packet_port.cc
@@ -8,9 +8,9 @@
 namespace cobaltgauge::daemon {
 namespace {
 
-/// Packets handled before other work gets its turn.
+/// Packets processed before control returns to the event loop.
 constexpr int kBatchSize = 64;
-/// Some seconds of packets; waiting bytes count towards the process's memory.
+/// Bounded, as queued bytes count towards the memory limit of the process.
 constexpr int kSocketBufferBytes = 1 << 20;
 constexpr std::size_t kMaxDatagramBytes = 2048;
 
--- a/src/daemon/packet_port.h
+++ b/src/daemon/packet_port.h
@@ -1,5 +1,6 @@
 /// @file
-/// Moves packets of token steering: a datagram in, a verdict of the core, a datagram out.
+/// Data socket of token steering: receives datagrams, obtains a verdict of the core for each, and
+/// forwards or refuses them.
 #pragma once
 
 #include <array>
@@ -21,29 +22,29 @@
   std::uint64_t sentToBackends = 0;
   std::uint64_t refusalsSent = 0;
   std::uint64_t sendErrors = 0;
-  std::uint64_t retried = 0;  ///< Packets decided again after the view changed.
+  std::uint64_t retried = 0;  ///< Packets reprocessed after the view changed.
   std::array<std::uint64_t, net::kPacketFaults> faults{};
 };
 
 class PacketPort {
  public:
-  /// Called with the time at which a batch is handled.
+  /// Called with the time at which a batch is processed.
   using BatchListener = std::function<void(core::Time now)>;
-  /// Called after each verdict, for logs.
+  /// Called after each verdict, for logging.
   using VerdictListener =
       std::function<void(const core::PacketSummary&, const core::Verdict&, core::Time now)>;
 
   PacketPort(asio::io_context& context, net::PacketFormat& format, core::FlowSteering& steering);
 
-  /// Decides packets again that the view could not decide; to be called when it has changed.
+  /// Reprocesses queued packets. Must be called when the view has changed.
   void retryPending(core::Time now);
 
-  /// Tells a caller that its flow is refused.
+  /// Sends a refusal of the flow to its client.
   void refuse(const core::FlowKey& flow, std::uint32_t acknowledgement);
 
   void setBatchListener(BatchListener listener) { onBatch_ = std::move(listener); }
   void setVerdictListener(VerdictListener listener) { onVerdict_ = std::move(listener); }
-  /// Called when every waiting packet has been handled.
+  /// Called when the socket has no more packets to read.
   void setDrainedListener(BatchListener listener) { onDrained_ = std::move(listener); }
 
   /// Binds the socket. @return false on failure; see lastReason().
@@ -57,7 +58,7 @@
  private:
   void waitForPackets();
   void receiveBatch();
-  /// @param arrivedAt earlier than `now` where the packet was kept.
+  /// @param arrivedAt arrival time; earlier than `now` if the packet was queued.
   void onPacket(std::span<std::uint8_t> datagram, core::Time arrivedAt, core::Time now);
   void queueIfViewIncomplete(const core::Verdict& verdict, net::ByteView packet,
                              core::Time arrivedAt);
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -30,7 +30,8 @@
   , Load(this->Self,
          this->Meter,
          [this](core::Time now) {
-           // Slots of a sample would make every zone look full.
+           // The slots of a sampled view would make every zone look
+           // overloaded.
            return this->View.Reader.hasAllBackends()
              ? this->View.Steering.backends().countSlots(now)
              : core::ZoneSlots{};
@@ -68,7 +69,8 @@
 
 void PeerLink::SetSeeds(const Settings& settings)
 {
-  // The cluster's port is the same on all machines, whatever the seeds name.
+  // All machines use the same cluster port; the ports of the seeds are
+  // ignored.
   std::vector<core::Endpoint> seeds = settings.clusterSeeds;
   for (core::Endpoint& seed : seeds) {
     seed.port = this->Self.port;
@@ -91,7 +93,8 @@
 
 void PeerLink::OnStoreReply(core::Time now)
 {
-  this->Exchange.onTick(now); // A first read that fails lets it ask peers.
+  this->Exchange.onTick(
+    now); // Requests a view from peers if the first read failed.
   this->Relay.OnStoreReply(now);
   this->Send();
 }
@@ -99,7 +102,7 @@
 void PeerLink::SendNotice(const core::UnreachableGroupsNotice& notice)
 {
   if (notice.Groups.empty()) {
-    return; // As after nearly every batch of packets.
+    return; // The common case.
   }
   const std::vector<core::Endpoint> neighbours = this->Relay.GetNeighbours();
   if (!neighbours.empty()) {
--- a/src/daemon/peers/peer_link.h
+++ b/src/daemon/peers/peer_link.h
@@ -1,6 +1,6 @@
 /// @file
-/// A token daemon's conversation with its peers: carries the messages of the
-/// view exchange and the view relay, and logs what they change.
+/// Peer communication of a token daemon: sends and receives the messages of
+/// the view exchange, relay and backfill, and logs the resulting changes.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -20,7 +20,7 @@
 
 namespace cobaltgauge::daemon {
 
-/// The view that peers bring up to date, and what it is read by.
+/// The view that peers update, and the objects that apply and read it.
 struct SharedView
 {
   core::TokenSteering& Steering;
@@ -30,43 +30,43 @@
 };
 
 /** \class PeerLink
- * \brief Connect the core's peer protocols to the cluster's sockets.
+ * \brief Connects the peer protocols of the core to the cluster sockets.
  */
 class PeerLink
 {
 public:
-  /// Called after a peer was heard and at each tick: the reader may have
-  /// become active, and with `changed` the view is another.
+  /// Called after each received frame and at each tick, when the reader may
+  /// have become active. `changed` is true if the view has changed.
   using Listener = std::function<void(core::Time now, bool changed)>;
 
-  /// \param view and `random` outlive the link.
+  /// The objects in `view` and `random` must outlive the link.
   PeerLink(asio::io_context& context,
            const Settings& settings,
            const SharedView& view,
            core::Random& random,
            Listener listener);
 
-  /// Open the cluster's sockets.
+  /// Opens the cluster sockets.
   /// \return false on failure; see GetLastReason().
   bool Open();
   const std::string& GetLastReason() const { return this->Peers.lastReason(); }
 
-  /// Take the seeds of the settings, which may have changed.
+  /// Applies the seeds after the settings were loaded or reloaded.
   void SetSeeds(const Settings& settings);
 
-  /// Take the setting, which may have changed.
+  /// Applies the setting after it was loaded or reloaded.
   void SetLoadReports(bool enabled) { this->Load.SetEnabled(enabled); }
 
   void Start(core::Time now) { this->Exchange.start(now); }
   void OnTick(core::Time now);
-  /// Call after the reader took an answer of the store.
+  /// Must be called after the reader has processed a reply of the store.
   void OnStoreReply(core::Time now);
-  /// Tell the daemons next to this one that groups were found silent; each
-  /// that finds the same passes it on.
+  /// Notifies the neighbours in the relay tree that groups are unreachable. A
+  /// neighbour that confirms this notifies its own neighbours.
   void SendNotice(const core::UnreachableGroupsNotice& notice);
-  /// Call after the process was suspended.
+  /// Must be called after the process was suspended.
   void OnResume() { this->Relay.OnResume(); }
-  /// Tell the peers that this daemon stops.
+  /// Notifies the peers that this daemon is shutting down.
   void Leave();
 
   const core::ViewExchange& GetExchange() const { return this->Exchange; }
--- a/src/daemon/pending_packets.h
+++ b/src/daemon/pending_packets.h
@@ -1,7 +1,7 @@
 /// @file
-/// Packets that could not be decided because the view lacked something, kept for a moment: a
-/// starting daemon has its view some milliseconds after its first packets, and their callers would
-/// send them again only after hundreds. Bounded in number and age.
+/// Queue of packets that could not be processed because the view was incomplete, as at startup.
+/// Reprocessing them is faster than waiting for the retransmissions of their clients. Bounded in
+/// number and age.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 
 namespace cobaltgauge::daemon {
 
-/// About a caller's first repetition; older packets have been sent again.
+/// About the first retransmission timeout of a client; older packets have been retransmitted.
 inline constexpr core::Duration kMaxPendingAge = std::chrono::milliseconds(250);
 inline constexpr std::size_t kMaxPendingPackets = 256;
 
@@ -24,7 +24,7 @@
     std::vector<std::uint8_t> bytes;
   };
 
-  /// Keeps a packet; the oldest one goes where there are too many.
+  /// Adds a packet. Discards the oldest one if the queue is full.
   void add(std::vector<std::uint8_t> bytes, core::Time now) {
     if (packets_.size() >= kMaxPendingPackets) {
       packets_.pop_front();
@@ -32,7 +32,7 @@
     packets_.push_back({now, std::move(bytes)});
   }
 
-  /// @return the kept packets that are not too old, in order of arrival; none is kept after that.
+  /// Clears the queue. @return the packets that have not expired, in order of arrival.
   std::vector<Packet> take(core::Time now) {
     std::vector<Packet> fresh;
     for (Packet& packet : packets_) {
--- a/src/daemon/planned_stop.cc
+++ b/src/daemon/planned_stop.cc
@@ -3,11 +3,11 @@
 namespace cobaltgauge::daemon {
 namespace {
 
-/// The router needs this long to notice that a daemon is no longer ready: two probes half a second
-/// apart, and some time for the last packets.
+/// Time until the router stops sending packets to a daemon that is no longer ready: two readiness
+/// probes and a margin for packets in transit.
 constexpr core::Duration kRouterDetectionTime = std::chrono::milliseconds(1600);
-/// Share of the time until the process would be killed that it uses at most. Where packets still
-/// come after that, no other daemon takes them, and a quick restart serves them best.
+/// The stop takes at most this fraction of the grace period. If packets still arrive then, no other
+/// daemon receives them, and a fast restart minimizes the interruption.
 constexpr int kGraceDivisor = 2;
 
 }  // namespace
--- a/src/daemon/planned_stop.h
+++ b/src/daemon/planned_stop.h
@@ -1,5 +1,5 @@
 /// @file
-/// A planned stop: how long a daemon that has been asked to stop goes on forwarding.
+/// Graceful shutdown: how long a daemon continues to forward packets after a stop signal.
 #pragma once
 
 #include "core/types.h"
@@ -14,13 +14,13 @@
   }
   bool hasBegun() const { return begun_; }
 
-  /// @param isIdle no packet has come for kQuiet.
-  /// @param grace time from the signal until the process would be killed.
-  /// @return true where routers have noticed and nothing is left to forward, or where packets that
-  /// still come are served best by a quick restart.
+  /// @param isIdle whether no packet has arrived for kIdleDuration.
+  /// @param grace time from the signal until the process is killed.
+  /// @return true if the router has had time to detect the stop and the daemon is idle, or if the
+  /// daemon's share of the grace period has elapsed.
   bool isDone(bool isIdle, core::Duration grace, core::Time now) const;
 
-  /// A leaving daemon without packets for this long has nothing left to forward.
+  /// A stopping daemon counts as idle after this time without packets.
   static constexpr core::Duration kIdleDuration = std::chrono::milliseconds(600);
 
  private:
--- a/src/daemon/store_link.h
+++ b/src/daemon/store_link.h
@@ -1,5 +1,5 @@
 /// @file
-/// Carries out what a StoreReader wants to read, over HTTP on the daemon's event loop.
+/// Performs the reads of a StoreReader over HTTP on the event loop of the daemon.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -15,19 +15,19 @@
 
 class StoreLink {
  public:
-  /// Called after each answer, once the reader has taken it.
+  /// Called after the reader has processed a reply.
   using Listener =
       std::function<void(const core::StoreRead&, const core::StoreReply&, core::Duration latency)>;
 
   StoreLink(asio::io_context& context, const core::Endpoint& store,
             const net::StoreDialect& dialect, core::StoreReader& reader, Listener listener);
 
-  /// Makes the read that is due; to be called at start and when the reader became active. Later
-  /// ones follow by themselves while it is.
+  /// Starts or schedules the next read. Must be called at startup and whenever the reader becomes
+  /// active; subsequent reads are scheduled automatically while it is active.
   void start();
 
-  /// Gives the read under way up, whose answer may never come, and reads at once. For a process
-  /// that was suspended.
+  /// Cancels the outstanding read and starts a new one. Used at startup and after the process was
+  /// suspended, when the response may never arrive.
   void restart();
 
  private:
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -31,7 +31,7 @@
   return text;
 }
 
-/// @return the zones of the back ends of a service that take new flows.
+/// @return the zones that have backends of the service for new flows.
 std::vector<core::ZoneId> zonesOf(core::BackendRegistry& backends, core::ServiceId service) {
   std::set<core::ZoneId> zones;
   for (const core::PlacementCandidate& candidate : backends.candidates(service)) {
@@ -103,7 +103,7 @@
     return false;
   }
   if (!admin_.open(settings_.adminListen)) {
-    // Serving matters more than being watched.
+    // Forwarding works without the admin interface.
     logEvent(LogLevel::kError, "metrics_unavailable", {{"reason", admin_.lastReason()}});
   }
   applySettings();
--- a/src/daemon/token_daemon.h
+++ b/src/daemon/token_daemon.h
@@ -1,6 +1,6 @@
 /// @file
-/// The daemon process where packets carry a token: owns the core's token steering and connects it
-/// to the data socket, the configuration store and the operators. One thread.
+/// The daemon process for packets that carry a token. Connects the token steering of the core to
+/// the data socket, the configuration store, the peers and the admin interface. Single-threaded.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -31,18 +31,18 @@
 
 class TokenDaemon {
  public:
-  /// @param commandLine names the settings file, which is read again when it changes.
+  /// @param commandLine contains the path of the settings file, which is reloaded when it changes.
   TokenDaemon(Settings settings, CommandLine commandLine);
 
-  /// Opens every socket. @return false on failure; see lastReason().
+  /// Opens all sockets. @return false on failure; see lastReason().
   bool open();
-  /// Runs until a planned stop has ended.
+  /// Runs until a planned stop is complete.
   void run();
   const std::string& lastReason() const { return lastReason_; }
 
  private:
   bool loadPolicy();
-  /// Puts in force what can change while the daemon runs, but for the policy and the store.
+  /// Applies the settings that can change at run time, except the policy and the store address.
   void applySettings();
   bool isReady() const;
   net::HttpResponse readinessResponse(const std::string& path) const;
@@ -56,9 +56,9 @@
   void onStoreReply(const core::StoreRead& read, const core::StoreReply& reply,
                     core::Duration latency);
   void waitForSignal();
-  /// Takes what changed by a peer's message.
+  /// Handles the effects of a peer message or tick on the view and the reader.
   void onPeerEvent(core::Time now, bool changed);
-  /// Decides again what waited for the view, and gives up what it shows to be gone.
+  /// Reprocesses packets that waited for the view, and resets flows whose backends are gone.
   void onViewChanged(core::Time now);
   void updateViewState(core::Time now);
   void onViewChange(const core::ViewChange& change);
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -26,7 +26,7 @@
   return net::formatEndpoint(flow.source) + ">" + net::formatEndpoint(flow.destination);
 }
 
-/// One line a request: packets without data are not told.
+/// Logs one line per request; packets without data are ignored.
 void logTokenResolved(const core::PacketSummary& packet, const core::ForwardToBackend& forward,
                       core::Revision viewRevision) {
   if (packet.dataLength == 0) {
@@ -141,7 +141,7 @@
       return;
     case core::ViewChange::Kind::kOlderRoutes:
       logEvent(LogLevel::kWarning, "routes_refused",
-               {{"reason", "older than the version in force"},
+               {{"reason", "older than the active version"},
                 {"version", std::to_string(change.version)},
                 {"revision", toString(change.revision)}});
       return;
--- a/src/daemon/token_log.h
+++ b/src/daemon/token_log.h
@@ -1,6 +1,6 @@
 /// @file
-/// Log lines of token steering: one for each decision that touches a flow, and one for each change
-/// of what the daemon believes. The flow's key is its id.
+/// Log lines of token steering: one for each decision about a flow, which is identified by its key,
+/// and one for each change of the state known to the daemon.
 #pragma once
 
 #include "core/load/fleet_load.h"
@@ -11,48 +11,51 @@
 
 namespace cobaltgauge::daemon {
 
-/// Logs a verdict on a packet. Forwarding a packet of an open flow is no decision and not logged.
+/// Logs the verdict on a packet. Packets forwarded by the token that they carry are not logged.
 void logVerdict(const core::PacketSummary& packet, const core::Verdict& verdict,
                 const core::TokenSteering& steering, core::Revision viewRevision);
 
-/// Logs that a flow's caller is told that its back end is gone.
+/// Logs that a flow was reset because its backend is gone.
 void logReset(const core::FlowReset& reset, core::Revision viewRevision);
 
 /// Logs the result of a probe.
 void logProbe(const core::BackendAddress& backend, core::ProbeResult result);
 
-/// Logs why a back end that took no connection is not taken for dead.
+/// Logs why a backend is not considered failed although it accepted no connection.
 void logInconclusiveProbe(const core::BackendAddress& backend, core::ProbeDoubt doubt);
 
-/// Logs changes of back ends that had no lines of their own.
+/// Logs the summary of backend changes that were not logged individually.
 void logChangeSummary(const ViewChangeLogger::Summary& summary);
-/// Logs a change of the view. @param viewAge since the view was last known to be the store's: the
-/// change cannot have been made longer ago.
+/// Logs a change of the view. @param viewAge time since the view was last synchronized with the
+/// store; upper bound of the age of the change.
 void logViewChange(const core::ViewChange& change, core::Duration viewAge);
 
-/// Logs one read of the store, its cause and what it gave.
+/// Logs a read of the store with its cause and outcome.
 void logStoreRead(const core::StoreRead& read, const core::StoreReply& reply,
                   core::Duration latency, core::Revision viewRevision);
 
-/// This daemon began or ceased to ask for packets, by what it reaches.
+/// Logs that this daemon started or stopped serving, depending on which backends are reachable.
 void logServingChange(const core::ServingChange& change, core::Revision viewRevision);
 
-/// All back ends of a group come last for new flows. @param unreachableGroups how many groups do.
+/// Logs that a group is unreachable and its backends are deprioritized for new flows.
+/// @param unreachableGroups current number of unreachable groups.
 void logUnreachableGroup(const core::BackendGroup& group, std::size_t unreachableGroups,
                          const core::BackendRegistry& backends, core::Revision viewRevision);
 
-/// Logs that a service's limit began, changed by much or ended, and by what.
+/// Logs that the admission limit of a service was set, changed significantly or removed, with the
+/// statistics that caused it.
 void logAdmission(const core::AdmissionState& state);
 
-/// A back end left callers of several daemons without answers; it comes last for new flows.
+/// Logs that several daemons reported missing responses of a backend, which is deprioritized for
+/// new flows.
 void logOutlier(core::BackendId backend, core::Revision viewRevision);
 
-/// Openings of a service begin or cease to leave a zone for want of room.
+/// Logs that spillover of openings from a zone to others started or ended.
 void logSpillover(const core::SpilloverChange& change, const core::BackendRegistry& backends,
                   core::Revision viewRevision);
 
-/// Back ends of a service in a zone are more than half used, or no longer. @param daemons whose
-/// load it is.
+/// Logs that the backends of a service in a zone became busy or returned to normal load.
+/// @param daemons number of daemons whose load is included.
 void logZoneBusyChange(const core::ZoneBusyChange& change, const core::BackendRegistry& backends,
                        std::uint32_t daemons);
 
--- a/src/daemon/view_change_logger.cc
+++ b/src/daemon/view_change_logger.cc
@@ -9,11 +9,10 @@
 namespace {
 
 constexpr core::Duration kPeriod = std::chrono::seconds(1);
-/// Single lines of a second: a calm day's changes, and the first ones of any
-/// event.
+/// Changes that are logged individually per period without sampling.
 constexpr std::uint32_t kLinesPerPeriod = 8;
-/// Daemons of the fleet that tell a change singly in any case.  Three, since
-/// one may die and another may not have got the change yet.
+/// Expected number of daemons in the fleet that log a sampled change.  More
+/// than one, so that a change is logged even if a daemon fails.
 constexpr std::uint64_t kLoggersPerChange = 3;
 
 }  // namespace
--- a/src/daemon/view_change_logger.h
+++ b/src/daemon/view_change_logger.h
@@ -1,6 +1,6 @@
 /// @file
-/// Logs changes of back ends, so that their lines stay few where thousands
-/// change and each change still has lines of its own somewhere in the fleet.
+/// Rate-limited logging of backend changes. Beyond the limit, each daemon logs
+/// a sample of the changes and a summary of the others.
 #pragma once
 
 #include <array>
@@ -13,16 +13,17 @@
 namespace cobaltgauge::daemon {
 
 /** \class ChangeLines
- * \brief Single lines within an allowance, then a few drawn ones and a sum.
+ * \brief Logs backend changes individually up to a rate limit, then a sample
+ * of them and a summary.
  *
- * A release of 89 back ends a second gave 985 daemons 263,000 lines a second.
- * Beyond the allowance a change is told singly by daemons drawn by its key,
- * kTellersOfChange of the fleet on the mean, so that a search for an id over
- * the logs of all daemons finds it.  All others count it.
+ * Beyond the limit, the hash of a change selects the daemons that log it
+ * individually: kLoggersPerChange of the fleet on average, so that a search
+ * for an id in the logs of all daemons usually finds it.  The other daemons
+ * count the change in their summary.
  */
 class ViewChangeLogger {
  public:
-  /// Back ends that changed within a second and were not told singly.
+  /// The changes of one period that were not logged individually.
   struct Summary {
     std::array<std::uint64_t, core::kRegistryEvents> counts{};  ///< By event.
     core::Revision first = 0;
@@ -32,15 +33,15 @@
   using LogChange = std::function<void(const core::ViewChange&)>;
   using LogSummary = std::function<void(const Summary&)>;
 
-  /// \param daemon tells this daemon from the others.
+  /// \param daemon id of this daemon; determines which changes it samples.
   ViewChangeLogger(std::uint64_t daemon, LogChange logChange, LogSummary logSummary);
 
-  /// \param fleetSize how many daemons there are; errs high.
+  /// \param fleetSize number of daemons, which may be overestimated.
   void setFleetSize(std::uint32_t fleetSize) { fleetSize_ = fleetSize; }
 
-  /// Take a change of a back end.
+  /// Logs a backend change or counts it in the summary.
   void add(const core::ViewChange& change, core::Time now);
-  /// Tell what was counted, once a second at most.
+  /// Logs the summary if there is one, at most once per period.
   void onTick(core::Time now);
 
  private:
@@ -51,7 +52,7 @@
   LogSummary logSummary_;
   std::uint32_t fleetSize_ = 1;
   core::Time periodStart_{};
-  std::uint32_t loggedInPeriod_ = 0;  ///< Singly, in this second.
+  std::uint32_t loggedInPeriod_ = 0;  ///< Changes logged individually in this period.
   Summary suppressed_;
   bool hasSuppressed_ = false;
 };
--- a/src/daemon/zone_page.h
+++ b/src/daemon/zone_page.h
@@ -1,5 +1,5 @@
 /// @file
-/// The admin page of zones that operators have taken out, and of what this daemon reaches.
+/// Admin page with the evacuated zones and the readiness of this daemon.
 #pragma once
 
 #include <string>
@@ -9,8 +9,8 @@
 
 namespace cobaltgauge::daemon {
 
-/// @return JSON: the view's revision, and each evacuation in force with its zone, key and revision;
-/// whether this daemon asks for packets, and why it reaches back ends or not, as far as it knows.
+/// @return JSON with the revision of the view, each active evacuation with its zone, key and
+/// revision, whether this daemon is ready, and whether it is serving and for which reason.
 std::string zonePage(const core::ZoneEvacuations& evacuations, core::Revision viewRevision,
                      bool ready, const core::ServingReadiness& serving);
 
--- a/tests/daemon/backend_prober_test.cc
+++ b/tests/daemon/backend_prober_test.cc
@@ -13,7 +13,8 @@
 using asio::ip::tcp;
 using core::ProbeResult;
 
-/// A listener on loopback; filled up, it leaves openings unanswered as a dead machine does.
+/// A listener on loopback. With a full backlog it leaves connection attempts unanswered, like a
+/// failed machine.
 struct Listener {
   tcp::acceptor acceptor;
   std::list<tcp::socket> fillers;
@@ -28,7 +29,7 @@
     return *net::parseEndpoint("127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
   }
 
-  /// Fills the queue of connections.
+  /// Fills the backlog.
   void fill(asio::io_context& context) {
     constexpr int kMoreThanBacklog = 4;
     for (int i = 0; i < kMoreThanBacklog; ++i) {
--- a/tests/daemon/packet_port_test.cc
+++ b/tests/daemon/packet_port_test.cc
@@ -12,7 +12,7 @@
 namespace cobaltgauge::tests {
 namespace {
 
-/// A packet port on loopback, a back end's socket, and a caller's.
+/// A packet port on loopback, with the sockets of a backend and a client.
 struct PortFixture : TokenFixture {
   asio::io_context context;
   platform::PacketHeader format;
@@ -44,7 +44,7 @@
     }
   }
 
-  /// Gives the empty steering one back end, at this fixture's socket.
+  /// Adds the backend socket of this fixture to the steering, which had no view.
   void provideView() {
     core::Registration registration = makeRegistration(9, "web", 1, 1);
     registration.endpoint = net::fromUdp(backend.local_endpoint());
@@ -53,7 +53,7 @@
     viewlessSteering.setViewState(true, true);
   }
 
-  /// @return bytes of the datagram that waits at the back end, zero for none.
+  /// @return the size of the datagram received by the backend, zero if there is none.
   std::size_t receivedByBackend() {
     std::vector<std::uint8_t> buffer(2048);
     asio::error_code error;
@@ -64,8 +64,8 @@
 
 BOOST_FIXTURE_TEST_SUITE(PacketPortTest, PortFixture)
 
-// The packets of the first milliseconds were dropped and sent again by their callers only after
-// 200 to 800 ms (ptf scale-1 after all daemons were killed).
+// Guards against dropping the packets that arrive before the first view, which delays their flows
+// until the clients retransmit.
 BOOST_AUTO_TEST_CASE(early_packets_are_forwarded_once_the_view_is_known) {
   sendToPort(opening());
   BOOST_TEST(receivedByBackend() == 0U);
--- a/tests/daemon/view_change_logger_test.cc
+++ b/tests/daemon/view_change_logger_test.cc
@@ -44,7 +44,7 @@
   BOOST_TEST(summaries.empty());
 }
 
-// 985 daemons wrote ten million lines at a start and at each lapse.
+// Guards against one log line per change when thousands of backends change at once.
 BOOST_AUTO_TEST_CASE(many_changes_are_sampled_and_summarized) {
   const auto logger = make(1, 985);
   for (std::uint64_t id = 0; id < 10'000; ++id) {
@@ -60,7 +60,7 @@
   BOOST_TEST(summaries.size() == 1U);
 }
 
-// An operator searches an id over the logs of the fleet.
+// Operators search the logs of all daemons for the id of a backend.
 BOOST_AUTO_TEST_CASE(most_changes_are_logged_by_some_daemon) {
   constexpr std::uint32_t kFleetSize = 300;
   constexpr std::uint64_t kChanges = 2000;
@@ -70,7 +70,7 @@
       logger->add(vanished(id), now);
     }
   }
-  // With three of 300 drawn on the mean, one change in 20 has none by chance.
+  // With three loggers per change on average, about one change in 20 has none.
   BOOST_TEST(linesByKey.size() > kChanges * 9 / 10);
   std::size_t all = 0;
   for (const auto& [key, count] : linesByKey) {
