--- a/src/daemon/connect_prober.h
+++ b/src/daemon/connect_prober.h
@@ -1,13 +1,13 @@
 /// @file
-/// Learns whether back ends are reached by opening one connection and closing it again, on the
-/// daemon's event loop. It proves no death: see backend_prober.h.
+/// Checks whether backends are reachable by opening and closing a single connection, on the event
+/// loop of the daemon. This does not prove that a backend has failed; see backend_prober.h.
 #pragma once
 
 #include <asio/io_context.hpp>
 #include <functional>
 
 #include "core/configuration.h"
-#include "core/probe/failure_probe.h"
+#include "core/proof/death_trial.h"
 
 namespace cobaltgauge::daemon {
 
@@ -15,18 +15,18 @@
  public:
   using Handler = std::function<void(const core::BackendAddress&, core::ProbeResult)>;
 
-  /// @param patience how long a probe waits for a connection.
-  ConnectProber(asio::io_context& context, core::Duration patience, Handler handler)
-      : context_(context), patience_(patience), handler_(std::move(handler)) {}
+  /// @param timeout how long a probe waits for a connection.
+  ConnectProber(asio::io_context& context, core::Duration timeout, Handler handler)
+      : context_(context), timeout_(timeout), handler_(std::move(handler)) {}
 
-  /// Starts a probe; the handler is called once with its result.
+  /// Starts a probe. The handler is called once with the result.
   void probe(const core::BackendAddress& backend);
 
  private:
   struct Attempt;
 
   asio::io_context& context_;
-  core::Duration patience_;
+  core::Duration timeout_;
   Handler handler_;
 };
 
--- a/src/daemon/planned_stop.cc
+++ b/src/daemon/planned_stop.cc
@@ -3,18 +3,18 @@
 namespace cobaltgauge::daemon {
 namespace {
 
-/// The router needs this long to notice that a daemon is no longer ready: two probes half a second
-/// apart, and some time for the last packets.
-constexpr core::Duration kRouterNotices = std::chrono::milliseconds(1600);
-/// Share of the time until the process would be killed that it uses at most. Where packets still
-/// come after that, no other daemon takes them, and a quick restart serves them best.
-constexpr int kStopShare = 2;
+/// Time until the router stops sending packets to a daemon that is no longer ready: two readiness
+/// probes and a margin for packets in transit.
+constexpr core::Duration kRouterDetectionTime = std::chrono::milliseconds(1600);
+/// The stop takes at most this fraction of the grace period. If packets still arrive then, no other
+/// daemon receives them, and a fast restart minimizes the interruption.
+constexpr int kGraceDivisor = 2;
 
 }  // namespace
 
-bool PlannedStop::isDone(bool quiet, core::Duration grace, core::Time now) const {
-  const core::Duration passed = now - begunAt_;
-  return begun_ && passed >= kRouterNotices && (quiet || passed >= grace / kStopShare);
+bool PlannedStop::isDone(bool isIdle, core::Duration grace, core::Time now) const {
+  const core::Duration elapsed = now - begunAt_;
+  return begun_ && elapsed >= kRouterDetectionTime && (isIdle || elapsed >= grace / kGraceDivisor);
 }
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/token_daemon.h
+++ b/src/daemon/token_daemon.h
@@ -1,6 +1,6 @@
 /// @file
-/// The daemon process where packets carry a token: owns the core's token steering and connects it
-/// to the data socket, the configuration store and the operators. One thread.
+/// The daemon process for packets that carry a token. Connects the token steering of the core to
+/// the data socket, the configuration store, the peers and the admin interface. Single-threaded.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -14,7 +14,6 @@
 #include "core/token_steering.h"
 #include "core/view_updater.h"
 #include "daemon/backend_probes.h"
-#include "daemon/change_lines.h"
 #include "daemon/packet_port.h"
 #include "daemon/peers/peer_link.h"
 #include "daemon/planned_stop.h"
@@ -24,6 +23,7 @@
 #include "daemon/store_link.h"
 #include "daemon/system_random.h"
 #include "daemon/token_metrics.h"
+#include "daemon/view_change_logger.h"
 #include "net/http_server.h"
 #include "net/store_dialect.h"
 
@@ -31,36 +31,36 @@
 
 class TokenDaemon {
  public:
-  /// @param commandLine names the settings file, which is read again when it changes.
+  /// @param commandLine contains the path of the settings file, which is reloaded when it changes.
   TokenDaemon(Settings settings, CommandLine commandLine);
 
-  /// Opens every socket. @return false on failure; see lastReason().
+  /// Opens all sockets. @return false on failure; see lastReason().
   bool open();
-  /// Runs until a planned stop has ended.
+  /// Runs until a planned stop is complete.
   void run();
   const std::string& lastReason() const { return lastReason_; }
 
  private:
   bool loadPolicy();
-  /// Puts in force what can change while the daemon runs, but for the policy and the store.
+  /// Applies the settings that can change at run time, except the policy and the store address.
   void applySettings();
   bool isReady() const;
-  net::HttpResponse answerReadiness(const std::string& path) const;
-  net::HttpResponse answerAdmin(const std::string& path) const;
+  net::HttpResponse readinessResponse(const std::string& path) const;
+  net::HttpResponse adminResponse(const std::string& path) const;
   void onBatch(core::Time now);
   void onVerdict(const core::PacketSummary& packet, const core::Verdict& verdict, core::Time now);
   void onDrained(core::Time now);
   void onTick();
   void scheduleTick();
-  void noticeSuspension(core::Time now);
-  void onStoreAnswer(const core::StoreRead& read, const core::StoreReply& reply,
-                     core::Duration latency);
+  void detectSuspension(core::Time now);
+  void onStoreReply(const core::StoreRead& read, const core::StoreReply& reply,
+                    core::Duration latency);
   void waitForSignal();
-  /// Takes what changed by a peer's message.
-  void onPeers(core::Time now, bool changed);
-  /// Decides again what waited for the view, and gives up what it shows to be gone.
+  /// Handles the effects of a peer message or tick on the view and the reader.
+  void onPeerEvent(core::Time now, bool changed);
+  /// Reprocesses packets that waited for the view, and resets flows whose backends are gone.
   void onViewChanged(core::Time now);
-  void noteViewState(core::Time now);
+  void updateViewState(core::Time now);
   void onViewChange(const core::ViewChange& change);
   void onSignal(int signal);
   void beginStop();
@@ -76,9 +76,9 @@
   PolicyWeights weights_;
   core::PriorityAdmission admission_;
   core::TokenSteering steering_;
-  core::LocalCapacityEstimator seenRoom_;
+  core::LocalCapacityEstimator localCapacity_;
   core::ChangeLog changes_;
-  ChangeLines changeLines_;
+  ViewChangeLogger changeLogger_;
   core::ViewUpdater updater_;
   core::StoreReader reader_;
   PeerLink peers_;
--- a/src/daemon/token_metrics.h
+++ b/src/daemon/token_metrics.h
@@ -1,6 +1,5 @@
 /// @file
-/// Metrics of token steering in the Prometheus text format; docs/METRICS.md repeats the table for
-/// operators.
+/// Metrics of token steering in the Prometheus text format, documented in docs/METRICS.md.
 #pragma once
 
 #include <prometheus/histogram.h>
@@ -23,18 +22,18 @@
 
   void onOpeningResponse(core::Duration latency) override;
   void onDataAcknowledged(core::Duration latency) override;
-  void onStoreAnswer(core::Duration latency);
+  void onStoreReply(core::Duration latency);
 
-  /// @return one family for each histogram.
+  /// @return one metric family per histogram.
   std::vector<prometheus::MetricFamily> collect() const;
 
  private:
   prometheus::Histogram openings_;
-  prometheus::Histogram answers_;
+  prometheus::Histogram acknowledgements_;
   prometheus::Histogram storeReads_;
 };
 
-/// Where the values are read from.
+/// The objects that the values are read from.
 struct TokenMetricSources {
   const core::TokenSteering& steering;
   const core::StoreReader& reader;
@@ -46,7 +45,7 @@
   core::Time now{};
 };
 
-/// @return all metrics as text.
+/// @return all metrics in the text format.
 std::string tokenMetricsText(const TokenMetricSources& sources);
 
 }  // namespace cobaltgauge::daemon
