--- a/scripts/token_smoke.py
+++ b/scripts/token_smoke.py
@@ -78,7 +78,7 @@
     checks.expect("the page of load names slots and utilization",
                   web and all(zone["slots"] > 0 and zone["utilization"] is not None for zone in web))
     fleet.take_back("b")
-    wait_until(lambda: all(daemon.lines("zone_returned") for daemon in (first, second)),
+    wait_until(lambda: all(daemon.lines("zone_restored") for daemon in (first, second)),
                "every daemon knows that the zone is back")
     wait_until(lambda: open_many(caller, [first], 1) and len(other.openings) > before,
                "it gets flows again")
@@ -94,7 +94,7 @@
     fleet.store.compact()
     fleet.publish([(*ROUTE, "web"), ("10.90.0.2", 443, "web")])
     wait_until(lambda: all(any(f"version={fleet.version} " in line
-                               for line in daemon.lines("routes_in_force"))
+                               for line in daemon.lines("routes_activated"))
                            for daemon in (first, second)), "the new version is in force")
     checks.expect("a new route serves",
                   caller.open([second], ("10.90.0.2", 443)) is not None)
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -376,7 +376,7 @@
   }
   logEvent(LogLevel::kInfo, "reloaded",
            {{"cause", cause},
-            {"taken", joinNames(change->taken)},
+            {"applied", joinNames(change->taken)},
             {"needs_restart", joinNames(change->needsRestart)},
             {"policy", policyApplied ? "taken" : lastReason_}});
 }
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -32,7 +32,7 @@
   if (packet.dataLength == 0) {
     return;
   }
-  logEvent(LogLevel::kInfo, "flow_reached",
+  logEvent(LogLevel::kInfo, "token_resolved",
            {{"flow", formatFlow(packet.flow)},
             {"address", net::formatEndpoint(forward.backend.endpoint)},
             {"version", std::to_string(forward.version)},
@@ -51,14 +51,14 @@
   const core::OpeningDecision& decision = steering.lastDecision();
   logEvent(LogLevel::kInfo, "opening_forwarded",
            {{"flow", formatFlow(packet.flow)},
-            {"copy", std::to_string(packet.openingRetransmission)},
+            {"retransmission", std::to_string(packet.openingRetransmission)},
             {"rule", toString(forward.reason)},
             {"backend", hex(forward.backend.id)},
             {"route", decision.route},
             {"open_flows", std::to_string(decision.openFlows)},
             {"candidates", std::to_string(decision.candidates)},
             {"slow", std::to_string(decision.slowCandidates)},
-            {"cold", std::to_string(decision.warmingUpCandidates)},
+            {"warming_up", std::to_string(decision.warmingUpCandidates)},
             {"spilled", decision.spilled ? "yes" : "no"},
             {"version", std::to_string(decision.version)},
             {"revision", toString(viewRevision)}});
@@ -67,7 +67,7 @@
 const char* eventOf(core::ViewChange::Kind kind) {
   return kind == core::ViewChange::Kind::kEvacuationBegan  ? "zone_evacuated"
          : kind == core::ViewChange::Kind::kEvacuationLost ? "evacuation_lost"
-                                                           : "zone_returned";
+                                                           : "zone_restored";
 }
 
 void logEvacuation(const core::ViewChange& change, core::Duration viewAge) {
@@ -95,7 +95,7 @@
            {{"flow", formatFlow(packet.flow)},
             {"reason", reason},
             {"token", std::to_string(static_cast<std::uint32_t>(packet.token))},
-            {"copy", std::to_string(packet.openingRetransmission)},
+            {"retransmission", std::to_string(packet.openingRetransmission)},
             {"version", std::to_string(steering.routes().version())},
             {"revision", toString(viewRevision)}});
 }
@@ -116,8 +116,8 @@
 }
 
 void logInconclusiveProbe(const core::BackendAddress& backend, core::InconclusiveReason doubt) {
-  logEvent(LogLevel::kInfo, "silence_unproven",
-           {{"backend", hex(backend.id)}, {"doubt", core::ToString(doubt)}});
+  logEvent(LogLevel::kInfo, "probe_inconclusive",
+           {{"backend", hex(backend.id)}, {"reason", core::ToString(doubt)}});
 }
 
 void logViewChange(const core::ViewChange& change, core::Duration viewAge) {
@@ -136,7 +136,7 @@
       return;
     case core::ViewChange::Kind::kRoutes:
       logEvent(
-          LogLevel::kInfo, "routes_in_force",
+          LogLevel::kInfo, "routes_activated",
           {{"version", std::to_string(change.version)}, {"revision", toString(change.revision)}});
       return;
     case core::ViewChange::Kind::kOlderRoutes:
@@ -147,11 +147,11 @@
       return;
     case core::ViewChange::Kind::kFirstListing:
       logEvent(
-          LogLevel::kInfo, "view_listed",
+          LogLevel::kInfo, "first_listing_applied",
           {{"backends", std::to_string(change.backends)}, {"revision", toString(change.revision)}});
       return;
     case core::ViewChange::Kind::kAllBackendsKnown:
-      logEvent(LogLevel::kInfo, "view_whole",
+      logEvent(LogLevel::kInfo, "all_backends_known",
                {{"backends", std::to_string(change.backends)},
                 {"view_age_ms", std::to_string(viewAge / std::chrono::milliseconds(1))}});
       return;
@@ -195,18 +195,18 @@
 void logServingChange(const core::ServingChange& change, core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, change.Serving ? "serving" : "not_serving",
            {{"reason", core::ToString(change.Reason)},
-            {"silent", std::to_string(change.UnansweredBackends)},
+            {"unanswered_backends", std::to_string(change.UnansweredBackends)},
             {"probes_timed_out", std::to_string(change.TimedOut)},
-            {"silent_ms", std::to_string(change.UnansweredFor / std::chrono::milliseconds(1))},
+            {"unanswered_ms", std::to_string(change.UnansweredFor / std::chrono::milliseconds(1))},
             {"revision", toString(viewRevision)}});
 }
 
 void logUnreachableGroup(const core::BackendGroup& group, std::size_t unreachableGroups,
                          const core::BackendRegistry& backends, core::Revision viewRevision) {
-  logEvent(LogLevel::kWarning, "group_silent",
+  logEvent(LogLevel::kWarning, "group_unreachable",
            {{"service", backends.nameOf(group.Service)},
             {"zone", backends.nameOf(group.Zone)},
-            {"silent_groups", std::to_string(unreachableGroups)},
+            {"unreachable_groups", std::to_string(unreachableGroups)},
             {"revision", toString(viewRevision)}});
 }
 
@@ -214,16 +214,16 @@
   const core::OpeningStatistics& statistics = state.Inputs;
   logEvent(LogLevel::kWarning, state.IsLimited ? "openings_limited" : "openings_unlimited",
            {{"service", state.Service},
-            {"let_in_share", formatFraction(state.AdmittedShare)},
-            {"let_in_per_s", formatFraction(state.AdmittedRate)},
-            {"wanted", formatFraction(statistics.CountOffered())},
+            {"admitted_share", formatFraction(state.AdmittedShare)},
+            {"admitted_per_s", formatFraction(state.AdmittedRate)},
+            {"offered", formatFraction(statistics.CountOffered())},
             {"served", std::to_string(statistics.Served)},
             {"rejected", std::to_string(statistics.Rejected)},
-            {"within_ms", formatFraction(statistics.Seconds * kMillisecondsPerSecond)},
+            {"interval_ms", formatFraction(statistics.Seconds * kMillisecondsPerSecond)},
             {"rejected_by_serving", std::to_string(state.Distribution.ByServing)},
-            {"expected_of_these", formatFraction(state.Distribution.ExpectedByServing)},
-            {"room", ToString(state.Capacity)},
-            {"probe", formatFraction(state.GrowthFactor)}});
+            {"expected_by_serving", formatFraction(state.Distribution.ExpectedByServing)},
+            {"capacity", ToString(state.Capacity)},
+            {"growth_factor", formatFraction(state.GrowthFactor)}});
 }
 
 void logSpillover(const core::SpilloverChange& change, const core::BackendRegistry& backends,
@@ -231,9 +231,9 @@
   logEvent(LogLevel::kWarning, change.Began ? "spill_began" : "spill_ended",
            {{"service", backends.nameOf(change.Service)},
             {"zone", backends.nameOf(change.Zone)},
-            {"kept", std::to_string(change.LocalShare)},
+            {"local_share", std::to_string(change.LocalShare)},
             {"demand", std::to_string(change.Demand)},
-            {"least_demand", std::to_string(change.LowestDemand)},
+            {"lowest_demand", std::to_string(change.LowestDemand)},
             {"age_ms", std::to_string(change.Age / std::chrono::milliseconds(1))},
             {"revision", toString(viewRevision)}});
 }
@@ -241,13 +241,13 @@
 void logOutlier(core::BackendId backend, core::Revision viewRevision) {
   logEvent(LogLevel::kWarning, "outlier_found",
            {{"backend", hex(backend)},
-            {"reporters_at_least", std::to_string(core::kMinOutlierReporters)},
+            {"min_reporters", std::to_string(core::kMinOutlierReporters)},
             {"revision", toString(viewRevision)}});
 }
 
 void logZoneBusyChange(const core::ZoneBusyChange& change, const core::BackendRegistry& backends,
                        std::uint32_t daemons) {
-  logEvent(LogLevel::kInfo, change.IsBusy ? "zone_busy" : "zone_calm",
+  logEvent(LogLevel::kInfo, change.IsBusy ? "zone_busy" : "zone_not_busy",
            {{"service", backends.nameOf(change.Key.first)},
             {"zone", backends.nameOf(change.Key.second)},
             {"in_flight", std::to_string(change.Load.InFlight)},
--- a/tests/scripts/account_test.py
+++ b/tests/scripts/account_test.py
@@ -21,7 +21,8 @@
     def test_events_starts_and_drops(self):
         lines, starts, drops = read(
             " -1.5000 lb-1 time=T level=info daemon=lb-1 event=started zone=a\n"
-            "  3.2000 lb-1 time=T level=warning daemon=lb-1 event=packet_dropped reason=paced copy=0\n")
+            "  3.2000 lb-1 time=T level=warning daemon=lb-1 event=packet_dropped"
+            " reason=paced retransmission=0\n")
         self.assertEqual(lines["lb-1"], [-1.5, 3.2])
         self.assertEqual(starts["lb-1"], [-1.5])
         self.assertEqual(drops[3]["paced"], 1)
