--- a/src/daemon/admin_pages.cc
+++ b/src/daemon/admin_pages.cc
@@ -13,7 +13,7 @@
 constexpr int kBadRequest = 400;
 constexpr int kNotFound = 404;
 
-const char* toText(core::MemberState state) {
+const char* memberStateName(core::MemberState state) {
   switch (state) {
     case core::MemberState::kJoining:
       return "joining";
@@ -31,15 +31,15 @@
   return "invalid";
 }
 
-AdminResponse failure(int status, const std::string& problem) {
-  return {status, "application/json", Json{{"error", problem}}.dump(2) + "\n"};
+AdminResponse errorResponse(int status, const std::string& message) {
+  return {status, "application/json", Json{{"error", message}}.dump(2) + "\n"};
 }
 
 Json statusPage(const MetricSources& sources) {
   const core::Balancer& balancer = sources.balancer;
   return {{"name", balancer.membership().self().name},
           {"zone", balancer.membership().self().zone},
-          {"state", toText(balancer.membership().selfState())},
+          {"state", memberStateName(balancer.membership().selfState())},
           {"fenced", balancer.isFenced()},
           {"configuration_accepted", balancer.configuration().digest().version},
           {"configuration_in_force", balancer.versionInForce()},
@@ -57,7 +57,7 @@
                        {"zone", member.identity.zone},
                        {"region", member.identity.region},
                        {"control", net::formatEndpoint(member.identity.control)},
-                       {"state", toText(member.state)},
+                       {"state", memberStateName(member.state)},
                        {"leaving", member.leaving},
                        {"incarnation", member.incarnation}});
   }
@@ -105,20 +105,21 @@
 }
 
 std::optional<core::FlowKey> parseFlow(const std::string& text) {
-  std::istringstream words(text);
+  std::istringstream stream(text);
   std::string protocol;
   std::string source;
   std::string destination;
-  words >> protocol >> source >> destination;
-  const auto from = net::parseEndpoint(source);
-  const auto to = net::parseEndpoint(destination);
-  if ((protocol != "udp" && protocol != "tcp") || !from || !to) {
+  stream >> protocol >> source >> destination;
+  const auto sourceEndpoint = net::parseEndpoint(source);
+  const auto destinationEndpoint = net::parseEndpoint(destination);
+  if ((protocol != "udp" && protocol != "tcp") || !sourceEndpoint || !destinationEndpoint) {
     return std::nullopt;
   }
-  return core::FlowKey{protocol == "udp" ? core::Protocol::kUdp : core::Protocol::kTcp, *from, *to};
+  return core::FlowKey{protocol == "udp" ? core::Protocol::kUdp : core::Protocol::kTcp,
+                       *sourceEndpoint, *destinationEndpoint};
 }
 
-Json backendName(const core::Balancer& balancer, core::BackendId id) {
+Json backendEndpoint(const core::Balancer& balancer, core::BackendId id) {
   const core::BackendAddress* address = balancer.findBackend(id);
   return address == nullptr ? Json() : Json(net::formatEndpoint(address->endpoint));
 }
@@ -140,13 +141,13 @@
     rule = "unsettled bucket: the shard's home decides";
   }
   return {{"service", explanation.service},
-          {"backend", backendName(balancer, chosen)},
+          {"backend", backendEndpoint(balancer, chosen)},
           {"rule", rule},
           {"bucket", explanation.bucket},
           {"shard", explanation.shard},
           {"settled", explanation.settled},
-          {"current", backendName(balancer, explanation.current)},
-          {"previous", backendName(balancer, explanation.previous)},
+          {"current", backendEndpoint(balancer, explanation.current)},
+          {"previous", backendEndpoint(balancer, explanation.previous)},
           {"home", memberName(balancer, explanation.owners.home)},
           {"replica", memberName(balancer, explanation.owners.replica)},
           {"since_version", explanation.version}};
@@ -154,8 +155,8 @@
 
 }  // namespace
 
-AdminResponse answerAdmin(const AdminRequest& request, const MetricSources& sources,
-                          core::Time now) {
+AdminResponse renderAdminPage(const AdminRequest& request, const MetricSources& sources,
+                              core::Time now) {
   AdminResponse response;
   if (request.path == "/metrics") {
     return {response.status, "text/plain; version=0.0.4", metricsText(sources)};
@@ -169,15 +170,16 @@
   } else if (request.path == "/explain") {
     const std::optional<core::FlowKey> flow = parseFlow(request.flow);
     if (!flow) {
-      return failure(kBadRequest, "flow must be \"udp|tcp SOURCE:PORT DESTINATION:PORT\"");
+      return errorResponse(kBadRequest, "flow must be \"udp|tcp SOURCE:PORT DESTINATION:PORT\"");
     }
     const std::optional<core::Explanation> explanation = sources.balancer.explain(*flow, now);
     if (!explanation) {
-      return failure(kNotFound, "no service has this destination and protocol");
+      return errorResponse(kNotFound, "no service has this destination and protocol");
     }
     response.body = explainJson(sources.balancer, *explanation).dump(2) + "\n";
   } else {
-    return failure(kNotFound, "pages are /metrics, /status, /members, /services and /explain");
+    return errorResponse(kNotFound,
+                         "pages are /metrics, /status, /members, /services and /explain");
   }
   return response;
 }
--- a/src/daemon/admin_pages.h
+++ b/src/daemon/admin_pages.h
@@ -8,7 +8,7 @@
 namespace cobaltgauge::daemon {
 
 /// Answers /metrics, /status, /members, /services and /explain. Runs on the daemon's thread.
-AdminResponse answerAdmin(const AdminRequest& request, const MetricSources& sources,
-                          core::Time now);
+AdminResponse renderAdminPage(const AdminRequest& request, const MetricSources& sources,
+                              core::Time now);
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/admin_server.cc
+++ b/src/daemon/admin_server.cc
@@ -6,13 +6,13 @@
 
 namespace cobaltgauge::daemon {
 
-AdminServer::AdminServer(std::function<AdminResponse(const AdminRequest&)> answer)
-    : answer_(std::move(answer)), server_(std::make_unique<httplib::Server>()) {
+AdminServer::AdminServer(std::function<AdminResponse(const AdminRequest&)> handler)
+    : handler_(std::move(handler)), server_(std::make_unique<httplib::Server>()) {
   server_->new_task_queue = [] { return new httplib::ThreadPool(1); };
   server_->Get(".*", [this](const httplib::Request& request, httplib::Response& response) {
-    const AdminResponse answer = answer_({request.path, request.get_param_value("flow")});
-    response.status = answer.status;
-    response.set_content(answer.body, answer.contentType);
+    const AdminResponse adminResponse = handler_({request.path, request.get_param_value("flow")});
+    response.status = adminResponse.status;
+    response.set_content(adminResponse.body, adminResponse.contentType);
   });
 }
 
--- a/src/daemon/admin_server.h
+++ b/src/daemon/admin_server.h
@@ -29,8 +29,8 @@
 
 class AdminServer {
  public:
-  /// @param answer called on the server's thread; must hand over to the daemon's thread itself.
-  explicit AdminServer(std::function<AdminResponse(const AdminRequest&)> answer);
+  /// @param handler called on the server's thread; must hand over to the daemon's thread itself.
+  explicit AdminServer(std::function<AdminResponse(const AdminRequest&)> handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
@@ -41,7 +41,7 @@
   const std::string& lastReason() const { return lastReason_; }
 
  private:
-  std::function<AdminResponse(const AdminRequest&)> answer_;
+  std::function<AdminResponse(const AdminRequest&)> handler_;
   std::unique_ptr<httplib::Server> server_;
   std::thread thread_;
   std::uint16_t port_ = 0;
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -14,10 +14,10 @@
 namespace {
 
 /// Longest wait for acknowledgements of a handover after the linger has ended.
-constexpr core::Duration kHandoverPatience = std::chrono::seconds(5);
+constexpr core::Duration kHandoverTimeout = std::chrono::seconds(5);
 /// Time that the last messages need to leave the socket.
-constexpr auto kFarewell = std::chrono::milliseconds(100);
-constexpr auto kAdminPatience = std::chrono::seconds(2);
+constexpr auto kFinalSendDelay = std::chrono::milliseconds(100);
+constexpr auto kAdminTimeout = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -54,7 +54,7 @@
     return false;
   }
   admin_ = std::make_unique<AdminServer>(
-      [this](const AdminRequest& request) { return answer(request); });
+      [this](const AdminRequest& request) { return handleAdminRequest(request); });
   if (!admin_->open(settings_.adminListen)) {
     lastReason_ = admin_->lastReason();
     return false;
@@ -62,9 +62,9 @@
   reader_ = std::make_unique<PlatformReader>(
       configuration::PlatformClient(net::formatAddress(settings_.platform.address),
                                     settings_.platform.port, settings_.platformTimeout),
-      [this](PlatformReading reading) {
-        asio::post(context_, [this, reading = std::move(reading)]() mutable {
-          onReading(std::move(reading));
+      [this](PlatformReadResult readResult) {
+        asio::post(context_, [this, readResult = std::move(readResult)]() mutable {
+          onPlatformReadResult(std::move(readResult));
         });
       });
   signals_.async_wait([this](const asio::error_code& error, int) {
@@ -102,13 +102,13 @@
   const core::Time now = bootTime();
   balancer_->onTick(now);
   readPlatformIfDue(now);
-  flush();
+  sendPendingMessages();
   logChanges();
   stopIfDone(now);
   flushLog();
 }
 
-void Daemon::flush() {
+void Daemon::sendPendingMessages() {
   for (const core::OutgoingMessage& outgoing : balancer_->takeMessages()) {
     peers_.send(outgoing.destination, net::toFrame(outgoing.message));
   }
@@ -126,22 +126,22 @@
         }
       },
       received.frame);
-  flush();
+  sendPendingMessages();
 }
 
 void Daemon::readPlatformIfDue(core::Time now) {
   if (now >= nextRead_ && balancer_->shouldReadPlatform(now)) {
     nextRead_ = now + std::chrono::duration_cast<core::Duration>(settings_.platformPollInterval);
-    reader_->request();
+    reader_->requestRead();
   }
 }
 
-void Daemon::onReading(PlatformReading reading) {
+void Daemon::onPlatformReadResult(PlatformReadResult readResult) {
   const core::Time now = bootTime();
-  if (reading.configuration) {
-    const std::string version = std::to_string(reading.configuration->version);
+  if (readResult.configuration) {
+    const std::string version = std::to_string(readResult.configuration->version);
     const core::OfferResult result =
-        balancer_->offerConfiguration(std::move(*reading.configuration), now);
+        balancer_->offerConfiguration(std::move(*readResult.configuration), now);
     const bool refused =
         result != core::OfferResult::kAccepted && result != core::OfferResult::kUnchanged;
     if (refused) {
@@ -151,17 +151,17 @@
                 {"reason", balancer_->configuration().lastReason()}});
     }
   }
-  if (reading.machines) {
-    balancer_->offerMemberSeeds(std::move(reading.machines->machines), now);
+  if (readResult.machines) {
+    balancer_->offerMemberSeeds(std::move(readResult.machines->machines), now);
   }
-  if (reading.failure != loggedFailure_) {
-    loggedFailure_ = reading.failure;
+  if (readResult.failure != loggedFailure_) {
+    loggedFailure_ = readResult.failure;
     const bool recovered = loggedFailure_.empty();
     logEvent(recovered ? LogLevel::kInfo : LogLevel::kWarning,
              recovered ? "platform_reachable" : "platform_unreachable",
              {{"reason", loggedFailure_}});
   }
-  flush();
+  sendPendingMessages();
 }
 
 void Daemon::logChanges() {
@@ -181,32 +181,32 @@
   leaving_ = true;
   leavingSince_ = bootTime();
   balancer_->beginLeaving(leavingSince_);
-  flush();
+  sendPendingMessages();
 }
 
 void Daemon::stopIfDone(core::Time now) {
   if (!leaving_ || now - leavingSince_ < settings_.linger) {
     return;
   }
-  if (!balancer_->handoverDone() && now - leavingSince_ < settings_.linger + kHandoverPatience) {
+  if (!balancer_->handoverDone() && now - leavingSince_ < settings_.linger + kHandoverTimeout) {
     return;
   }
   leaving_ = false;
   balancer_->finishLeaving(now);
-  flush();
+  sendPendingMessages();
   logEvent(LogLevel::kInfo, "planned_stop_ended");
   data_->close();
-  auto farewell = std::make_shared<asio::steady_timer>(context_, kFarewell);
-  farewell->async_wait([this, farewell](const asio::error_code&) { context_.stop(); });
+  auto stopTimer = std::make_shared<asio::steady_timer>(context_, kFinalSendDelay);
+  stopTimer->async_wait([this, stopTimer](const asio::error_code&) { context_.stop(); });
 }
 
-AdminResponse Daemon::answer(const AdminRequest& request) {
+AdminResponse Daemon::handleAdminRequest(const AdminRequest& request) {
   auto promise = std::make_shared<std::promise<AdminResponse>>();
   std::future<AdminResponse> future = promise->get_future();
   asio::post(context_, [this, promise, request] {
-    promise->set_value(answerAdmin(request, sources(), bootTime()));
+    promise->set_value(renderAdminPage(request, sources(), bootTime()));
   });
-  if (future.wait_for(kAdminPatience) != std::future_status::ready) {
+  if (future.wait_for(kAdminTimeout) != std::future_status::ready) {
     constexpr int kServiceUnavailable = 503;
     return {kServiceUnavailable, "text/plain", "the daemon is busy or stopping\n"};
   }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -36,13 +36,13 @@
   void onFrame(const net::ReceivedFrame& received);
   void onTick();
   void scheduleTick();
-  void flush();
+  void sendPendingMessages();
   void readPlatformIfDue(core::Time now);
-  void onReading(PlatformReading reading);
+  void onPlatformReadResult(PlatformReadResult readResult);
   void onSignal();
   void stopIfDone(core::Time now);
   void logChanges();
-  AdminResponse answer(const AdminRequest& request);
+  AdminResponse handleAdminRequest(const AdminRequest& request);
 
   Settings settings_;
   asio::io_context context_;
--- a/src/daemon/data_plane.cc
+++ b/src/daemon/data_plane.cc
@@ -85,8 +85,8 @@
     ++counters_.innerErrors[reader_.lastError()];
     return;
   }
-  carryOut(balancer_.onPacket(*summary, now), packet->protocolType, packet->payload,
-           balancer_.membership().self().id);
+  applyVerdict(balancer_.onPacket(*summary, now), packet->protocolType, packet->payload,
+               balancer_.membership().self().id);
 }
 
 void DataPlane::onForwardedPacket(const net::ForwardedPacket& forwarded, core::Time now) {
@@ -97,19 +97,19 @@
     return;
   }
   const core::PeerArrival arrival{forwarded.ingress, forwarded.hops, forwarded.wantsListing};
-  carryOut(balancer_.onPeerPacket(*summary, arrival, now), forwarded.protocolType, forwarded.packet,
-           forwarded.ingress);
+  applyVerdict(balancer_.onPeerPacket(*summary, arrival, now), forwarded.protocolType,
+               forwarded.packet, forwarded.ingress);
 }
 
-void DataPlane::carryOut(const core::Verdict& verdict, std::uint16_t protocolType,
-                         net::ByteView packet, core::MemberId ingress) {
+void DataPlane::applyVerdict(const core::Verdict& verdict, std::uint16_t protocolType,
+                             net::ByteView packet, core::MemberId ingress) {
   if (const auto* forward = std::get_if<core::ForwardToBackend>(&verdict)) {
     sendToBackend(*forward, protocolType, packet);
-  } else if (const auto* pass = std::get_if<core::ForwardToPeer>(&verdict)) {
+  } else if (const auto* peerForward = std::get_if<core::ForwardToPeer>(&verdict)) {
     ++counters_.packetsToPeers;
-    peers_.send(pass->destination,
-                net::ForwardedPacket{ingress, pass->hops, pass->wantsListing, protocolType,
-                                     net::Bytes(packet.begin(), packet.end())});
+    peers_.send(peerForward->destination,
+                net::ForwardedPacket{ingress, peerForward->hops, peerForward->wantsListing,
+                                     protocolType, net::Bytes(packet.begin(), packet.end())});
   } else if (const auto* refusal = std::get_if<core::Refuse>(&verdict)) {
     sendRefusal(*refusal, protocolType, packet);
   }
@@ -140,9 +140,9 @@
 
 void DataPlane::sendRefusal(const core::Refuse& refusal, std::uint16_t protocolType,
                             net::ByteView packet) {
-  const std::optional<net::Bytes> answer = net::buildRefusal(refusal, protocolType, packet);
-  if (answer &&
-      sendPacket(settings_.fabricReturn, net::encodeHeader(settings_.vni, protocolType), *answer)) {
+  const std::optional<net::Bytes> response = net::buildRefusal(refusal, protocolType, packet);
+  if (response && sendPacket(settings_.fabricReturn, net::encodeHeader(settings_.vni, protocolType),
+                             *response)) {
     ++counters_.refusalsSent;
   }
 }
--- a/src/daemon/data_plane.h
+++ b/src/daemon/data_plane.h
@@ -48,8 +48,8 @@
   void waitForPackets();
   void receiveBatch();
   void onDatagram(net::ByteView datagram, core::Time now);
-  void carryOut(const core::Verdict& verdict, std::uint16_t protocolType, net::ByteView packet,
-                core::MemberId ingress);
+  void applyVerdict(const core::Verdict& verdict, std::uint16_t protocolType, net::ByteView packet,
+                    core::MemberId ingress);
   void sendToBackend(const core::ForwardToBackend& forward, std::uint16_t protocolType,
                      net::ByteView packet);
   void sendRefusal(const core::Refuse& refusal, std::uint16_t protocolType, net::ByteView packet);
--- a/src/daemon/log.cc
+++ b/src/daemon/log.cc
@@ -24,8 +24,8 @@
 constexpr std::size_t kBufferBytes = 256U << 10U;
 
 LogBuffer& buffer() {
-  static LogBuffer lines(kBufferBytes);
-  return lines;
+  static LogBuffer instance(kBufferBytes);
+  return instance;
 }
 
 /// Boost.Log's way to the buffer.
@@ -53,20 +53,21 @@
   return "invalid";
 }
 
-std::string quoted(const std::string& value) {
-  const bool plain = !value.empty() && value.find_first_of(" \"=\n\t\\") == std::string::npos;
-  if (plain) {
+std::string quoteIfNeeded(const std::string& value) {
+  const bool needsNoQuotes =
+      !value.empty() && value.find_first_of(" \"=\n\t\\") == std::string::npos;
+  if (needsNoQuotes) {
     return value;
   }
   std::ostringstream out;
   out << '"';
-  for (const char letter : value) {
-    if (letter == '"' || letter == '\\') {
-      out << '\\' << letter;
-    } else if (letter == '\n') {
+  for (const char character : value) {
+    if (character == '"' || character == '\\') {
+      out << '\\' << character;
+    } else if (character == '\n') {
       out << "\\n";
     } else {
-      out << letter;
+      out << character;
     }
   }
   out << '"';
@@ -83,19 +84,19 @@
 
 }  // namespace
 
-void initializeLog(LogLevel least, const std::string& daemonName) {
+void initializeLog(LogLevel minLevel, const std::string& daemonName) {
   processName() = daemonName;
   logging::core::get()->add_global_attribute("TimeStamp", logging::attributes::utc_clock());
   using Sink = logging::sinks::synchronous_sink<BufferSink>;
   const auto sink = boost::make_shared<Sink>();
   sink->set_formatter(&formatRecord);
   logging::core::get()->add_sink(sink);
-  setLogLevel(least);
+  setLogLevel(minLevel);
 }
 
-void setLogLevel(LogLevel least) {
+void setLogLevel(LogLevel minLevel) {
   logging::core::get()->set_filter(logging::expressions::attr<int>("Severity") >=
-                                   static_cast<int>(least));
+                                   static_cast<int>(minLevel));
 }
 
 void flushLog() { buffer().flush(STDOUT_FILENO); }
@@ -107,7 +108,7 @@
   std::ostringstream line;
   line << "level=" << levelName(level) << " daemon=" << processName() << " event=" << event;
   for (const auto& [key, value] : fields) {
-    line << ' ' << key << '=' << quoted(value);
+    line << ' ' << key << '=' << quoteIfNeeded(value);
   }
   BOOST_LOG_SEV(logger, static_cast<int>(level)) << line.str();
 }
--- a/src/daemon/log.h
+++ b/src/daemon/log.h
@@ -14,10 +14,10 @@
 using LogFields = std::vector<std::pair<const char*, std::string>>;
 
 /// Prepares logging to standard output. Call once. Lines wait in a bounded buffer until flushLog().
-void initializeLog(LogLevel least, const std::string& daemonName);
+void initializeLog(LogLevel minLevel, const std::string& daemonName);
 
 /// Changes the least severity that is logged.
-void setLogLevel(LogLevel least);
+void setLogLevel(LogLevel minLevel);
 
 /// Writes waiting lines as far as that does not block. To be called from the event loop.
 void flushLog();
--- a/src/daemon/log_buffer.cc
+++ b/src/daemon/log_buffer.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// A pipe that is ready takes this much without blocking (PIPE_BUF of POSIX on Linux).
-constexpr std::size_t kWriteBytes = 4096;
+constexpr std::size_t kMaxWriteBytes = 4096;
 
 bool isWritable(int descriptor) {
   pollfd request{descriptor, POLLOUT, 0};
@@ -36,7 +36,7 @@
   const std::lock_guard lock(mutex_);
   std::size_t written = 0;
   while (written < pending_.size() && isWritable(descriptor)) {
-    const std::size_t size = std::min(kWriteBytes, pending_.size() - written);
+    const std::size_t size = std::min(kMaxWriteBytes, pending_.size() - written);
     const ssize_t result = ::write(descriptor, pending_.data() + written, size);
     if (result <= 0) {
       break;
--- a/src/daemon/platform_reader.h
+++ b/src/daemon/platform_reader.h
@@ -14,7 +14,7 @@
 namespace cobaltgauge::daemon {
 
 /// Everything that one round of reads gave.
-struct PlatformReading {
+struct PlatformReadResult {
   std::optional<core::ConfigurationDocument> configuration;
   std::optional<configuration::MachineList> machines;
   std::string failure;  ///< Empty where both reads succeeded.
@@ -22,24 +22,24 @@
 
 class PlatformReader {
  public:
-  /// @param deliver called on the reader's thread after each round.
+  /// @param onResult called on the reader's thread after each round.
   PlatformReader(configuration::PlatformClient client,
-                 std::function<void(PlatformReading)> deliver);
+                 std::function<void(PlatformReadResult)> onResult);
   ~PlatformReader();
   PlatformReader(const PlatformReader&) = delete;
   PlatformReader& operator=(const PlatformReader&) = delete;
 
   /// Asks for one round; ignored while one is running.
-  void request();
+  void requestRead();
 
  private:
   void run();
-  PlatformReading readOnce();
+  PlatformReadResult readOnce();
 
   configuration::PlatformClient client_;
-  std::function<void(PlatformReading)> deliver_;
+  std::function<void(PlatformReadResult)> onResult_;
   std::mutex mutex_;
-  std::condition_variable wake_;
+  std::condition_variable condition_;
   bool requested_ = false;
   bool stopping_ = false;
   std::thread thread_;
--- a/src/daemon/policy_weights.cc
+++ b/src/daemon/policy_weights.cc
@@ -5,9 +5,9 @@
 namespace cobaltgauge::daemon {
 
 bool PolicyWeights::load(const std::string& source) {
-  core::Registration sample;
-  sample.zone = zone_;
-  if (!evaluate(source, sample)) {
+  core::Registration trialRegistration;
+  trialRegistration.zone = zone_;
+  if (!evaluate(source, trialRegistration)) {
     return false;
   }
   source_ = source;
@@ -19,11 +19,11 @@
   if (source_.empty()) {
     return core::kDefaultPlacementWeight;
   }
-  const Kind kind{registration.service, registration.zone, registration.softwareVersion,
-                  registration.capacity};
-  const auto known = weights_.find(kind);
-  if (known != weights_.end()) {
-    return known->second;
+  const BackendAttributes attributes{registration.service, registration.zone,
+                                     registration.softwareVersion, registration.capacity};
+  const auto cached = weights_.find(attributes);
+  if (cached != weights_.end()) {
+    return cached->second;
   }
   const std::optional<std::uint32_t> weight = evaluate(source_, registration);
   if (!weight) {
@@ -33,7 +33,7 @@
               {"reason", evaluator_.lastReason()},
               {"weight", std::to_string(core::kDefaultPlacementWeight)}});
   }
-  return weights_.emplace(kind, weight.value_or(core::kDefaultPlacementWeight)).first->second;
+  return weights_.emplace(attributes, weight.value_or(core::kDefaultPlacementWeight)).first->second;
 }
 
 std::optional<std::uint32_t> PolicyWeights::evaluate(const std::string& source,
--- a/src/daemon/policy_weights.h
+++ b/src/daemon/policy_weights.h
@@ -26,7 +26,7 @@
 
  private:
   /// Service, zone, software version and capacity.
-  using Kind = std::tuple<std::string, std::string, std::string, std::uint32_t>;
+  using BackendAttributes = std::tuple<std::string, std::string, std::string, std::uint32_t>;
 
   std::optional<std::uint32_t> evaluate(const std::string& source,
                                         const core::Registration& registration);
@@ -34,7 +34,7 @@
   std::string zone_;
   std::string source_;
   policy::PolicyEvaluator evaluator_;
-  std::map<Kind, std::uint32_t> weights_;
+  std::map<BackendAttributes, std::uint32_t> weights_;
 };
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -52,7 +52,7 @@
   std::chrono::milliseconds linger{2000};
   SteeringMode steering = SteeringMode::kRecorded;
   TokenForm tokenForm = TokenForm::kAddress;
-  std::chrono::seconds longestFlow{60};
+  std::chrono::seconds maxFlowAge{60};
   std::chrono::milliseconds stopGrace{6000};
   std::chrono::milliseconds applyWithin{3000};
   std::chrono::milliseconds drainWithin{3000};
@@ -60,14 +60,16 @@
   bool loadReports = true;     ///< Daemons tell each other of the load they see.
   bool resetDeadFlows = true;  ///< Of back ends that are proven dead.
   core::Endpoint readinessListen;
-  bool silentGroups = true;  ///< Back ends of a zone that are gone together come last together.
-  bool requireReach = true;  ///< Ready only where some back end is reached.
-  bool spill = true;         ///< Openings leave zones without room.
-  bool sampleFirst = true;   ///< Flows are taken by a sample of the back ends, until all are known.
+  bool detectUnreachableGroups =
+      true;  ///< Back ends of a zone that are gone together come last together.
+  bool requireReachableBackend = true;  ///< Ready only where some back end is reached.
+  bool spillover = true;                ///< Openings leave zones without room.
+  bool startWithSample =
+      true;  ///< Flows are taken by a sample of the back ends, until all are known.
   core::PriorityAdmissionOptions admission;
   std::string policyFile;  ///< Empty: all back ends are weighed alike.
   /// What the file and the flags gave, by flag; for telling what a reload changes.
-  std::map<std::string, std::string> given;
+  std::map<std::string, std::string> givenValues;
 };
 
 /// One setting: where it stands, what it means, what is allowed.
@@ -75,12 +77,12 @@
   const char* section;
   const char* key;
   const char* documentation;
-  std::string allowed;
+  std::string allowedValues;
   bool required = false;
   /// Parses and stores a value. @return false where the value is not allowed.
   std::function<bool(Settings&, const std::string&)> assign;
   bool reloadable = false;  ///< Takes effect while the daemon runs.
-  bool isSwitch = false;    ///< Its values are true and false.
+  bool isBoolean = false;   ///< Its values are true and false.
 
   /// @return the flag's name without dashes, "section-key" with '-' for '_'.
   std::string flag() const;
@@ -110,7 +112,7 @@
   const std::string& lastReason() const { return lastReason_; }
 
  private:
-  bool readFile(const std::string& path, Settings& settings, std::vector<std::string>& seen);
+  bool readFile(const std::string& path, Settings& settings, std::vector<std::string>& givenFlags);
   std::nullopt_t fail(std::string reason);
 
   std::string lastReason_;
--- a/src/daemon/settings_fields.cc
+++ b/src/daemon/settings_fields.cc
@@ -18,11 +18,12 @@
 constexpr std::uint64_t kMaxFlowEntries = 1U << 26U;
 constexpr std::uint64_t kMaxRate = 10'000'000;
 /// With more, lower ranks would no longer come after the higher ones.
-constexpr double kMostLeastShare = 0.5;
+constexpr double kMaxReservedShare = 0.5;
 
 SettingField field(const char* section, const char* key, const char* documentation,
-                   std::string allowed, Assign assign, bool required = false) {
-  return {section, key, documentation, std::move(allowed), required, std::move(assign), false};
+                   std::string allowedValues, Assign assign, bool required = false) {
+  return {section,           key,  documentation, std::move(allowedValues), required,
+          std::move(assign), false};
 }
 
 /// @return true for settings that take effect while the daemon runs (token steering).
@@ -68,28 +69,28 @@
 /// A whole number within bounds, converted to the member's type.
 template <typename T>
 SettingField numberField(const char* section, const char* key, const char* documentation,
-                         T Settings::*member, std::uint64_t lowest, std::uint64_t highest) {
-  const std::string allowed =
-      "a whole number from " + std::to_string(lowest) + " to " + std::to_string(highest);
-  return field(section, key, documentation, allowed,
-               [member, lowest, highest](Settings& settings, const std::string& text) {
+                         T Settings::*member, std::uint64_t minimum, std::uint64_t maximum) {
+  const std::string allowedValues =
+      "a whole number from " + std::to_string(minimum) + " to " + std::to_string(maximum);
+  return field(section, key, documentation, allowedValues,
+               [member, minimum, maximum](Settings& settings, const std::string& text) {
                  std::uint64_t number = 0;
                  const char* end = text.data() + text.size();
-                 const auto [stop, error] = std::from_chars(text.data(), end, number);
+                 const auto [parsedEnd, error] = std::from_chars(text.data(), end, number);
                  settings.*member = T(number);
-                 return error == std::errc{} && stop == end && number >= lowest &&
-                        number <= highest;
+                 return error == std::errc{} && parsedEnd == end && number >= minimum &&
+                        number <= maximum;
                });
 }
 
-SettingField switchField(const char* section, const char* key, const char* documentation,
-                         bool Settings::*member) {
+SettingField booleanField(const char* section, const char* key, const char* documentation,
+                          bool Settings::*member) {
   SettingField item = field(section, key, documentation, "true or false",
                             [member](Settings& settings, const std::string& text) {
                               settings.*member = text == "true";
                               return text == "true" || text == "false";
                             });
-  item.isSwitch = true;
+  item.isBoolean = true;
   return item;
 }
 
@@ -151,13 +152,13 @@
   return text == "token" || text == "recorded";
 }
 
-bool assignSpill(Settings& settings, const std::string& text) {
-  settings.spill = text == "auto";
+bool assignSpillover(Settings& settings, const std::string& text) {
+  settings.spillover = text == "auto";
   return text == "auto" || text == "off";
 }
 
-bool assignFirstView(Settings& settings, const std::string& text) {
-  settings.sampleFirst = text == "sample";
+bool assignInitialView(Settings& settings, const std::string& text) {
+  settings.startWithSample = text == "sample";
   return text == "sample" || text == "whole";
 }
 
@@ -171,12 +172,13 @@
   return text == "rank" || text == "off";
 }
 
-bool assignLeastShare(Settings& settings, const std::string& text) {
+bool assignReservedShare(Settings& settings, const std::string& text) {
   double share = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, share, std::chars_format::fixed);
+  const auto [parsedEnd, error] =
+      std::from_chars(text.data(), end, share, std::chars_format::fixed);
   settings.admission.ReservedShare = share;
-  return error == std::errc{} && stop == end && share >= 0 && share <= kMostLeastShare;
+  return error == std::errc{} && parsedEnd == end && share >= 0 && share <= kMaxReservedShare;
 }
 
 bool assignKey(Settings& settings, const std::string& text) {
@@ -223,14 +225,14 @@
   fields.push_back(field("steering", "spill",
                          "Whether openings leave the zone that the policy prefers while it has too "
                          "little room (token)",
-                         "auto or off", assignSpill));
+                         "auto or off", assignSpillover));
   fields.push_back(field("steering", "first_view",
                          "Whether a daemon that starts takes flows by a sample of the back ends "
                          "or waits until it knows all (token)",
-                         "sample or whole", assignFirstView));
+                         "sample or whole", assignInitialView));
   fields.push_back(numberField("steering", "longest_flow_seconds",
                                "Age that no flow exceeds; departed back ends are kept as long",
-                               &Settings::longestFlow, 1, 86'400));
+                               &Settings::maxFlowAge, 1, 86'400));
   fields.push_back(numberField("steering", "stop_grace_ms",
                                "Time from SIGTERM until the process must have ended",
                                &Settings::stopGrace, 1'000, 600'000));
@@ -260,22 +262,22 @@
   fields.push_back(field("admission", "least_share",
                          "Share of what full back ends accept that is kept for all ranks but the "
                          "highest (token)",
-                         "a number from 0 to 0.5", assignLeastShare));
-  fields.push_back(switchField("load", "reports",
-                               "Daemons tell each other of the load they see (token)",
-                               &Settings::loadReports));
+                         "a number from 0 to 0.5", assignReservedShare));
+  fields.push_back(booleanField("load", "reports",
+                                "Daemons tell each other of the load they see (token)",
+                                &Settings::loadReports));
   fields.push_back(endpointField("readiness", "listen",
                                  "Where GET /ready is answered; required where steering.mode is "
                                  "token",
                                  &Settings::readinessListen));
-  fields.push_back(switchField("steering", "silent_groups",
-                               "Whether back ends of a zone that are gone together come last "
-                               "together (token)",
-                               &Settings::silentGroups));
-  fields.push_back(switchField("readiness", "require_reach",
-                               "Whether a daemon that reaches none of the back ends that its "
-                               "callers need says that it is not ready (token)",
-                               &Settings::requireReach));
+  fields.push_back(booleanField("steering", "silent_groups",
+                                "Whether back ends of a zone that are gone together come last "
+                                "together (token)",
+                                &Settings::detectUnreachableGroups));
+  fields.push_back(booleanField("readiness", "require_reach",
+                                "Whether a daemon that reaches none of the back ends that its "
+                                "callers need says that it is not ready (token)",
+                                &Settings::requireReachableBackend));
   fields.push_back(nameField("cluster", "name", "Name of the cluster", &Settings::clusterName));
   fields.push_back(field("cluster", "key", "Secret shared by the cluster's daemons",
                          "16 to 256 bytes", assignKey, true));
@@ -305,9 +307,9 @@
 
 std::string SettingField::flag() const {
   std::string name = std::string(section) + "-" + key;
-  for (char& letter : name) {
-    if (letter == '_') {
-      letter = '-';
+  for (char& character : name) {
+    if (character == '_') {
+      character = '-';
     }
   }
   return name;
--- a/src/daemon/settings_loader.cc
+++ b/src/daemon/settings_loader.cc
@@ -35,8 +35,8 @@
 }
 
 /// @return the value as text; only texts and numbers are settings.
-/// @param takesSwitch true and false are values of the field.
-std::optional<std::string> valueText(const toml::node& node, bool takesSwitch) {
+/// @param acceptsBoolean true and false are values of the field.
+std::optional<std::string> valueText(const toml::node& node, bool acceptsBoolean) {
   if (const auto text = node.value_exact<std::string>()) {
     return *text;
   }
@@ -48,14 +48,14 @@
     return std::string(text.data(),
                        std::to_chars(text.data(), text.data() + text.size(), *number).ptr);
   }
-  const auto on = node.value_exact<bool>();
-  if (takesSwitch && on) {
-    return *on ? "true" : "false";
+  const auto boolean = node.value_exact<bool>();
+  if (acceptsBoolean && boolean) {
+    return *boolean ? "true" : "false";
   }
   return std::nullopt;
 }
 
-std::string position(const std::string& path, const toml::node& node) {
+std::string formatPosition(const std::string& path, const toml::node& node) {
   return path + ":" + std::to_string(node.source().begin.line);
 }
 
@@ -68,22 +68,23 @@
          "  --help            print this text and stop\n\n";
   for (const SettingField& field : settingFields()) {
     out << "  --" << field.flag() << "=VALUE   [" << field.section << "] " << field.key << ": "
-        << field.documentation << " (" << field.allowed << (field.required ? "; required" : "")
-        << ")\n";
+        << field.documentation << " (" << field.allowedValues
+        << (field.required ? "; required" : "") << ")\n";
   }
   return out.str();
 }
 
-std::string complaint(const SettingField& field, const std::string& value) {
+std::string invalidValueMessage(const SettingField& field, const std::string& value) {
   // The key is a secret and is never shown.
-  const bool secret = std::string_view(field.key) == "key";
+  const bool isSecret = std::string_view(field.key) == "key";
   return std::string(field.section) + "." + field.key + ": got " +
-         (secret ? "a value of " + std::to_string(value.size()) + " bytes" : "\"" + value + "\"") +
-         "; allowed is " + field.allowed;
+         (isSecret ? "a value of " + std::to_string(value.size()) + " bytes"
+                   : "\"" + value + "\"") +
+         "; allowed is " + field.allowedValues;
 }
 
 /// @return the setting that the way of steering needs and that is not there, or null.
-const char* missingForSteering(const Settings& settings) {
+const char* findMissingForMode(const Settings& settings) {
   if (settings.steering == SteeringMode::kRecorded && settings.fabricReturn == core::Endpoint{}) {
     return "data.fabric_return";
   }
@@ -144,14 +145,14 @@
     return fail(std::string(poptBadOption(context.get(), POPT_BADOPTION_NOALIAS)) + ": " +
                 poptStrerror(option) + "; see --help");
   }
-  if (const char* stray = poptGetArg(context.get())) {
-    return fail(std::string(stray) + ": unexpected argument; see --help");
+  if (const char* argument = poptGetArg(context.get())) {
+    return fail(std::string(argument) + ": unexpected argument; see --help");
   }
   return commandLine;
 }
 
 bool SettingsLoader::readFile(const std::string& path, Settings& settings,
-                              std::vector<std::string>& seen) {
+                              std::vector<std::string>& givenFlags) {
   toml::table root;
   try {
     root = toml::parse_file(path);
@@ -164,23 +165,24 @@
     const std::string section(sectionKey.str());
     const toml::table* table = sectionNode.as_table();
     if (table == nullptr || !hasSection(section)) {
-      fail(position(path, sectionNode) + ": " + section + ": unknown section; see --help");
+      fail(formatPosition(path, sectionNode) + ": " + section + ": unknown section; see --help");
       return false;
     }
     for (const auto& [key, node] : *table) {
       const SettingField* field = findField(section, key.str());
       if (field == nullptr) {
-        fail(position(path, node) + ": " + section + "." + std::string(key.str()) +
+        fail(formatPosition(path, node) + ": " + section + "." + std::string(key.str()) +
              ": unknown field; see --help");
         return false;
       }
-      const std::optional<std::string> value = valueText(node, field->isSwitch);
+      const std::optional<std::string> value = valueText(node, field->isBoolean);
       if (!value || !field->assign(settings, *value)) {
-        fail(position(path, node) + ": " + complaint(*field, value.value_or("another type")));
+        fail(formatPosition(path, node) + ": " +
+             invalidValueMessage(*field, value.value_or("another type")));
         return false;
       }
-      seen.push_back(field->flag());
-      settings.given[field->flag()] = *value;
+      givenFlags.push_back(field->flag());
+      settings.givenValues[field->flag()] = *value;
     }
   }
   return true;
@@ -188,26 +190,28 @@
 
 std::optional<Settings> SettingsLoader::load(const CommandLine& commandLine) {
   Settings settings;
-  std::vector<std::string> seen;
-  if (!commandLine.settingsFile.empty() && !readFile(commandLine.settingsFile, settings, seen)) {
+  std::vector<std::string> givenFlags;
+  if (!commandLine.settingsFile.empty() &&
+      !readFile(commandLine.settingsFile, settings, givenFlags)) {
     return std::nullopt;
   }
   for (const auto& [field, value] : commandLine.overrides) {
     if (!field->assign(settings, value)) {
-      return fail("--" + field->flag() + ": " + complaint(*field, value));
+      return fail("--" + field->flag() + ": " + invalidValueMessage(*field, value));
     }
-    seen.push_back(field->flag());
-    settings.given[field->flag()] = value;
+    givenFlags.push_back(field->flag());
+    settings.givenValues[field->flag()] = value;
   }
   for (const SettingField& field : settingFields()) {
-    const bool given = std::find(seen.begin(), seen.end(), field.flag()) != seen.end();
-    if (field.required && !given) {
+    const bool isGiven =
+        std::find(givenFlags.begin(), givenFlags.end(), field.flag()) != givenFlags.end();
+    if (field.required && !isGiven) {
       return fail(std::string(field.section) + "." + field.key +
-                  ": missing; set it in the file or by --" + field.flag() + " (" + field.allowed +
-                  ")");
+                  ": missing; set it in the file or by --" + field.flag() + " (" +
+                  field.allowedValues + ")");
     }
   }
-  if (const char* missing = missingForSteering(settings)) {
+  if (const char* missing = findMissingForMode(settings)) {
     return fail(std::string(missing) + ": missing; steering.mode needs it");
   }
   return settings;
--- a/src/daemon/settings_watch.cc
+++ b/src/daemon/settings_watch.cc
@@ -10,9 +10,9 @@
 }  // namespace
 
 SettingsWatch::SettingsWatch(CommandLine commandLine)
-    : commandLine_(std::move(commandLine)), stamp_(stampNow()) {}
+    : commandLine_(std::move(commandLine)), fileIdentity_(readFileIdentity()) {}
 
-SettingsWatch::Stamp SettingsWatch::stampNow() const {
+SettingsWatch::FileIdentity SettingsWatch::readFileIdentity() const {
   struct stat status {};
   if (::stat(commandLine_.settingsFile.c_str(), &status) != 0) {
     return {};
@@ -22,34 +22,34 @@
 }
 
 bool SettingsWatch::hasChanged() {
-  const Stamp now = stampNow();
+  const FileIdentity current = readFileIdentity();
   // A file that is missing is on its way; what was read stays.
-  const bool changed = now != stamp_ && now != Stamp{};
+  const bool changed = current != fileIdentity_ && current != FileIdentity{};
   if (changed) {
-    stamp_ = now;
+    fileIdentity_ = current;
   }
   return changed;
 }
 
 std::optional<SettingsChange> SettingsWatch::reload(Settings& settings) {
-  stamp_ = stampNow();
-  const std::optional<Settings> next = loader_.load(commandLine_);
-  if (!next) {
+  fileIdentity_ = readFileIdentity();
+  const std::optional<Settings> reloaded = loader_.load(commandLine_);
+  if (!reloaded) {
     return std::nullopt;
   }
   SettingsChange change;
   for (const SettingField& field : settingFields()) {
-    const auto before = settings.given.find(field.flag());
-    const auto after = next->given.find(field.flag());
-    const bool wasGiven = before != settings.given.end();
-    const bool isGiven = after != next->given.end();
+    const auto before = settings.givenValues.find(field.flag());
+    const auto after = reloaded->givenValues.find(field.flag());
+    const bool wasGiven = before != settings.givenValues.end();
+    const bool isGiven = after != reloaded->givenValues.end();
     if (wasGiven == isGiven && (!wasGiven || before->second == after->second)) {
       continue;
     }
     if (field.reloadable && isGiven) {
       field.assign(settings, after->second);
-      settings.given[field.flag()] = after->second;
-      change.taken.push_back(field.flag());
+      settings.givenValues[field.flag()] = after->second;
+      change.applied.push_back(field.flag());
     } else {
       change.needsRestart.push_back(field.flag());
     }
--- a/src/daemon/settings_watch.h
+++ b/src/daemon/settings_watch.h
@@ -16,7 +16,7 @@
 
 /// What a changed file means for a running daemon.
 struct SettingsChange {
-  std::vector<std::string> taken;         ///< Flags of settings that have new values.
+  std::vector<std::string> applied;       ///< Flags of settings that have new values.
   std::vector<std::string> needsRestart;  ///< Flags of settings whose new values wait for one.
 };
 
@@ -34,18 +34,18 @@
 
  private:
   /// Identity of a file's content as far as the file system tells.
-  struct Stamp {
+  struct FileIdentity {
     ino_t inode = 0;
     off_t size = 0;
     std::int64_t modifiedNanoseconds = 0;
-    bool operator==(const Stamp&) const = default;
+    bool operator==(const FileIdentity&) const = default;
   };
 
-  Stamp stampNow() const;
+  FileIdentity readFileIdentity() const;
 
   CommandLine commandLine_;
   SettingsLoader loader_;
-  Stamp stamp_;
+  FileIdentity fileIdentity_;
 };
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -46,7 +46,7 @@
   core::TokenSteeringOptions options;
   options.hashSeed = core::hashName(settings.clusterName + settings.clusterKey);
   options.flowEntries = settings.flowTableEntries;
-  options.longestFlow = settings.longestFlow;
+  options.longestFlow = settings.maxFlowAge;
   options.resetDeadFlows = settings.resetDeadFlows;
   options.daemonId = static_cast<std::uint64_t>(core::memberIdOf(settings.name));
   if (settings.tokenForm == TokenForm::kAddress) {
@@ -123,7 +123,7 @@
            {{"zone", settings_.zone},
             {"data", net::formatEndpoint(settings_.dataListen)},
             {"store", net::formatEndpoint(settings_.platform)}});
-  if (settings_.sampleFirst) {
+  if (settings_.startWithSample) {
     reader_.enableSampling(static_cast<std::uint32_t>(random_.below(core::kFinePartitions)));
   }
   lastActive_ = bootTime();
@@ -136,9 +136,9 @@
 void TokenDaemon::applySettings() {
   admission_.SetOptions(settings_.admission);
   steering_.backends().setRegions(settings_.regionsOfZones);
-  steering_.serving().SetRequired(settings_.requireReach);
-  steering_.silentGroups().SetEnabled(settings_.silentGroups);
-  steering_.spill().SetEnabled(settings_.spill);
+  steering_.serving().SetRequired(settings_.requireReachableBackend);
+  steering_.silentGroups().SetEnabled(settings_.detectUnreachableGroups);
+  steering_.spill().SetEnabled(settings_.spillover);
   peers_.SetSeeds(settings_);
   peers_.SetLoadReports(settings_.loadReports);
 }
@@ -376,7 +376,7 @@
   }
   logEvent(LogLevel::kInfo, "reloaded",
            {{"cause", cause},
-            {"taken", joined(change->taken)},
+            {"taken", joined(change->applied)},
             {"needs_restart", joined(change->needsRestart)},
             {"policy", policyTaken ? "taken" : lastReason_}});
 }
--- a/tests/daemon/policy_weights_test.cc
+++ b/tests/daemon/policy_weights_test.cc
@@ -15,13 +15,13 @@
 
 BOOST_AUTO_TEST_SUITE(PolicyWeightsTest)
 
-BOOST_AUTO_TEST_CASE(without_a_program_all_weigh_alike) {
+BOOST_AUTO_TEST_CASE(without_a_program_all_backends_have_the_default_weight) {
   daemon::PolicyWeights weights("a");
   BOOST_TEST(weights.weightOf(backendIn("a")) == core::kDefaultPlacementWeight);
   BOOST_TEST(weights.weightOf(backendIn("b")) == core::kDefaultPlacementWeight);
 }
 
-BOOST_AUTO_TEST_CASE(the_program_sees_zone_service_and_capacity) {
+BOOST_AUTO_TEST_CASE(program_receives_zone_service_and_capacity) {
   daemon::PolicyWeights weights("a");
   BOOST_REQUIRE(
       weights.load("function place(class, backend)\n"
@@ -32,7 +32,7 @@
   BOOST_TEST(weights.weightOf(backendIn("b", 5)) == 105U);
 }
 
-BOOST_AUTO_TEST_CASE(a_program_that_fails_is_refused_and_the_one_before_stays) {
+BOOST_AUTO_TEST_CASE(failing_program_is_rejected_and_the_previous_one_stays) {
   daemon::PolicyWeights weights("a");
   BOOST_REQUIRE(weights.load("function place(class, backend) return 7 end"));
   BOOST_TEST(!weights.load("function place(class, backend) return 'x' end"));
@@ -40,7 +40,7 @@
   BOOST_TEST(weights.weightOf(backendIn("a")) == 7U);
 }
 
-BOOST_AUTO_TEST_CASE(a_program_that_fails_for_one_back_end_leaves_it_the_default) {
+BOOST_AUTO_TEST_CASE(backend_for_which_the_program_fails_has_the_default_weight) {
   daemon::PolicyWeights weights("a");
   BOOST_REQUIRE(
       weights.load("function place(class, backend)\n"
--- a/tests/daemon/settings_test.cc
+++ b/tests/daemon/settings_test.cc
@@ -41,12 +41,12 @@
   std::string path_;
 };
 
-struct Outcome {
+struct LoadResult {
   std::optional<Settings> settings;
   std::string reason;
 };
 
-Outcome load(const std::string& text, std::vector<const char*> flags = {}) {
+LoadResult load(const std::string& text, std::vector<const char*> flags = {}) {
   const SettingsFile file(text);
   const std::string fileFlag = "--settings=" + file.path();
   std::vector<const char*> arguments{"cobaltgauged", fileFlag.c_str()};
@@ -73,22 +73,22 @@
 BOOST_AUTO_TEST_SUITE(SettingsTest)
 
 BOOST_AUTO_TEST_CASE(ValidFileIsRead) {
-  const Outcome outcome = load(kValid);
-  BOOST_TEST_REQUIRE(outcome.settings.has_value(), outcome.reason);
-  BOOST_TEST(outcome.settings->name == "lb-1");
-  BOOST_TEST(outcome.settings->zone == "default");
-  BOOST_TEST(outcome.settings->platform.port == 8080);
-  BOOST_TEST(cobaltgauge::net::formatEndpoint(outcome.settings->adminListen) == "127.0.0.1:9901");
+  const LoadResult result = load(kValid);
+  BOOST_TEST_REQUIRE(result.settings.has_value(), result.reason);
+  BOOST_TEST(result.settings->name == "lb-1");
+  BOOST_TEST(result.settings->zone == "default");
+  BOOST_TEST(result.settings->platform.port == 8080);
+  BOOST_TEST(cobaltgauge::net::formatEndpoint(result.settings->adminListen) == "127.0.0.1:9901");
 }
 
-BOOST_AUTO_TEST_CASE(FlagGoesBeforeTheFile) {
-  const Outcome outcome = load(kValid, {"--daemon-zone=hall-9", "--data-vni=12"});
-  BOOST_TEST_REQUIRE(outcome.settings.has_value(), outcome.reason);
-  BOOST_TEST(outcome.settings->zone == "hall-9");
-  BOOST_TEST(outcome.settings->vni == 12U);
+BOOST_AUTO_TEST_CASE(FlagOverridesFile) {
+  const LoadResult result = load(kValid, {"--daemon-zone=hall-9", "--data-vni=12"});
+  BOOST_TEST_REQUIRE(result.settings.has_value(), result.reason);
+  BOOST_TEST(result.settings->zone == "hall-9");
+  BOOST_TEST(result.settings->vni == 12U);
 }
 
-BOOST_AUTO_TEST_CASE(ErrorsNameFileLineFieldValueAndWhatIsAllowed) {
+BOOST_AUTO_TEST_CASE(ErrorsNameFileLineFieldValueAndAllowedValues) {
   const std::string valid = kValid;
   BOOST_TEST(load(valid + "poll_interval_ms = 7\n").reason ==
              "FILE:11: platform.poll_interval_ms: got \"7\"; allowed is a whole number from 50 to "
@@ -107,80 +107,80 @@
              "'.'");
 }
 
-BOOST_AUTO_TEST_CASE(BoundsOfChangesAreRead) {
-  const Outcome good = load(kValid, {"--steering-apply-within-ms=2000"});
-  BOOST_REQUIRE(good.settings.has_value());
-  BOOST_TEST(good.settings->applyWithin.count() == 2000);
-  BOOST_TEST(good.settings->drainWithin.count() == 3000);
-  const Outcome bad = load(kValid, {"--steering-drain-within-ms=100"});
-  BOOST_TEST(!bad.settings.has_value());
-  BOOST_TEST(bad.reason.find("500") != std::string::npos);
+BOOST_AUTO_TEST_CASE(ChangeTimeLimitsAreReadAndChecked) {
+  const LoadResult valid = load(kValid, {"--steering-apply-within-ms=2000"});
+  BOOST_REQUIRE(valid.settings.has_value());
+  BOOST_TEST(valid.settings->applyWithin.count() == 2000);
+  BOOST_TEST(valid.settings->drainWithin.count() == 3000);
+  const LoadResult invalid = load(kValid, {"--steering-drain-within-ms=100"});
+  BOOST_TEST(!invalid.settings.has_value());
+  BOOST_TEST(invalid.reason.find("500") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(SpillIsAutoOrOff) {
-  BOOST_TEST(load(kValid, {}).settings->spill);
-  BOOST_TEST(load(kValid, {"--steering-spill=auto"}).settings->spill);
-  BOOST_TEST(!load(kValid, {"--steering-spill=off"}).settings->spill);
-  BOOST_TEST(load(kValid, {}).settings->sampleFirst);
-  BOOST_TEST(load(kValid, {"--steering-first-view=sample"}).settings->sampleFirst);
-  BOOST_TEST(!load(kValid, {"--steering-first-view=whole"}).settings->sampleFirst);
+BOOST_AUTO_TEST_CASE(SpilloverAndInitialViewAreReadAndChecked) {
+  BOOST_TEST(load(kValid, {}).settings->spillover);
+  BOOST_TEST(load(kValid, {"--steering-spill=auto"}).settings->spillover);
+  BOOST_TEST(!load(kValid, {"--steering-spill=off"}).settings->spillover);
+  BOOST_TEST(load(kValid, {}).settings->startWithSample);
+  BOOST_TEST(load(kValid, {"--steering-first-view=sample"}).settings->startWithSample);
+  BOOST_TEST(!load(kValid, {"--steering-first-view=whole"}).settings->startWithSample);
   BOOST_TEST(!load(kValid, {"--steering-first-view=some"}).settings);
-  const Outcome bad = load(kValid, {"--steering-spill=on"});
-  BOOST_TEST(!bad.settings.has_value());
-  BOOST_TEST(bad.reason.find("auto or off") != std::string::npos);
+  const LoadResult invalid = load(kValid, {"--steering-spill=on"});
+  BOOST_TEST(!invalid.settings.has_value());
+  BOOST_TEST(invalid.reason.find("auto or off") != std::string::npos);
 }
 
-BOOST_AUTO_TEST_CASE(ZonesAndTheirEvacuationAreRead) {
-  const Outcome good = load(kValid, {"--daemon-regions-of-zones=hall-1=west,hall-2=east",
-                                     "--steering-evacuate-within-ms=2000"});
-  BOOST_REQUIRE(good.settings.has_value());
-  BOOST_TEST(good.settings->evacuateWithin.count() == 2000);
-  BOOST_TEST(good.settings->regionsOfZones.size() == 2U);
-  BOOST_TEST(good.settings->regionsOfZones.at("hall-2") == "east");
+BOOST_AUTO_TEST_CASE(RegionsOfZonesAndEvacuationTimeAreReadAndChecked) {
+  const LoadResult valid = load(kValid, {"--daemon-regions-of-zones=hall-1=west,hall-2=east",
+                                         "--steering-evacuate-within-ms=2000"});
+  BOOST_REQUIRE(valid.settings.has_value());
+  BOOST_TEST(valid.settings->evacuateWithin.count() == 2000);
+  BOOST_TEST(valid.settings->regionsOfZones.size() == 2U);
+  BOOST_TEST(valid.settings->regionsOfZones.at("hall-2") == "east");
   BOOST_TEST(load(kValid, {"--daemon-regions-of-zones="}).settings.has_value());
-  for (const char* wrong :
+  for (const char* value :
        {"--daemon-regions-of-zones=hall-1", "--daemon-regions-of-zones==west",
         "--daemon-regions-of-zones=hall-1=", "--daemon-regions-of-zones=hall-1=west,,",
         "--daemon-regions-of-zones=a b=west"}) {
-    const Outcome bad = load(kValid, {wrong});
-    BOOST_TEST(!bad.settings.has_value(), wrong);
-    BOOST_TEST(bad.reason.find("ZONE=REGION") != std::string::npos, wrong);
+    const LoadResult invalid = load(kValid, {value});
+    BOOST_TEST(!invalid.settings.has_value(), value);
+    BOOST_TEST(invalid.reason.find("ZONE=REGION") != std::string::npos, value);
   }
 }
 
-BOOST_AUTO_TEST_CASE(FailureDomainsAreOnUnlessSwitchedOff) {
+BOOST_AUTO_TEST_CASE(ReachabilityChecksAreEnabledByDefault) {
   const auto byDefault = load(kValid).settings;
   BOOST_REQUIRE(byDefault);
-  BOOST_TEST(byDefault->requireReach);
-  BOOST_TEST(byDefault->silentGroups);
-  const auto off =
+  BOOST_TEST(byDefault->requireReachableBackend);
+  BOOST_TEST(byDefault->detectUnreachableGroups);
+  const auto disabled =
       load(kValid, {"--readiness-require-reach=false", "--steering-silent-groups=false"}).settings;
-  BOOST_REQUIRE(off);
-  BOOST_TEST(!off->requireReach);
-  BOOST_TEST(!off->silentGroups);
-  const auto written =
+  BOOST_REQUIRE(disabled);
+  BOOST_TEST(!disabled->requireReachableBackend);
+  BOOST_TEST(!disabled->detectUnreachableGroups);
+  const auto fromFile =
       load(std::string(kValid) +
            "[readiness]\nrequire_reach = false\n[steering]\nsilent_groups = false\n")
           .settings;
-  BOOST_REQUIRE(written);
-  BOOST_TEST(!written->requireReach);
-  BOOST_TEST(!written->silentGroups);
+  BOOST_REQUIRE(fromFile);
+  BOOST_TEST(!fromFile->requireReachableBackend);
+  BOOST_TEST(!fromFile->detectUnreachableGroups);
   BOOST_TEST(load(kValid, {"--readiness-require-reach=maybe"}).reason.find("true or false") !=
              std::string::npos);
 }
 
 BOOST_AUTO_TEST_CASE(AdmissionIsReadAndChecked) {
-  const Outcome outcome =
+  const LoadResult result =
       load(std::string(kValid) + "[admission]\norder = \"off\"\nleast_share = 0.2\n");
-  BOOST_REQUIRE(outcome.settings.has_value());
-  BOOST_TEST(!outcome.settings->admission.Enabled);
-  BOOST_TEST(outcome.settings->admission.ReservedShare == 0.2);
-  for (const char* wrong : {"0.6", "-0.1", "nan", "5%", ""}) {
-    const Outcome refused =
-        load(kValid, {(std::string("--admission-least-share=") + wrong).c_str()});
-    BOOST_TEST(!refused.settings.has_value());
-    BOOST_TEST(refused.reason.find("admission") != std::string::npos);
-    BOOST_TEST(refused.reason.find("a number from 0 to 0.5") != std::string::npos);
+  BOOST_REQUIRE(result.settings.has_value());
+  BOOST_TEST(!result.settings->admission.Enabled);
+  BOOST_TEST(result.settings->admission.ReservedShare == 0.2);
+  for (const char* value : {"0.6", "-0.1", "nan", "5%", ""}) {
+    const LoadResult rejected =
+        load(kValid, {(std::string("--admission-least-share=") + value).c_str()});
+    BOOST_TEST(!rejected.settings.has_value());
+    BOOST_TEST(rejected.reason.find("admission") != std::string::npos);
+    BOOST_TEST(rejected.reason.find("a number from 0 to 0.5") != std::string::npos);
   }
 }
 
@@ -190,7 +190,7 @@
              "[IPV6]:PORT)");
 }
 
-BOOST_AUTO_TEST_CASE(KeyIsNeverShown) {
+BOOST_AUTO_TEST_CASE(ErrorsDoNotContainTheClusterKey) {
   const std::string reason = load("[cluster]\nkey = \"short\"\n").reason;
   BOOST_TEST(reason == "FILE:2: cluster.key: got a value of 5 bytes; allowed is 16 to 256 bytes");
 }
@@ -200,16 +200,16 @@
   BOOST_TEST(load(kValid, {"stray"}).reason == "stray: unexpected argument; see --help");
 }
 
-BOOST_AUTO_TEST_CASE(SwitchesAreRead) {
+BOOST_AUTO_TEST_CASE(BooleansAreReadAndChecked) {
   BOOST_TEST(load(kValid).settings->loadReports);
   BOOST_TEST(!load(kValid, {"--load-reports=false"}).settings->loadReports);
   const std::string text = std::string(kValid) + "[load]\nreports = ";
   BOOST_TEST(!load(text + "false\n").settings->loadReports);
   BOOST_TEST(load(text + "true\n").settings->loadReports);
-  for (const char* wrong : {"1", "\"yes\""}) {
-    const Outcome outcome = load(text + wrong + "\n");
-    BOOST_TEST(!outcome.settings.has_value());
-    BOOST_TEST(outcome.reason.find("allowed is true or false") != std::string::npos);
+  for (const char* value : {"1", "\"yes\""}) {
+    const LoadResult result = load(text + value + "\n");
+    BOOST_TEST(!result.settings.has_value());
+    BOOST_TEST(result.reason.find("allowed is true or false") != std::string::npos);
   }
 }
 
--- a/tests/daemon/settings_watch_test.cc
+++ b/tests/daemon/settings_watch_test.cc
@@ -18,13 +18,13 @@
   WatchFixture(const WatchFixture&) = delete;
   WatchFixture& operator=(const WatchFixture&) = delete;
 
-  void write(const std::string& level, const std::string& store,
+  void write(const std::string& level, const std::string& platform,
              const std::string& zone = "a") const {
     std::ofstream(path) << "[daemon]\nname = \"d1\"\nzone = \"" << zone
                         << "\"\n[steering]\nmode = \"token\"\n[data]\nlisten = \"127.0.0.1:1\"\n"
                         << "[readiness]\nlisten = \"127.0.0.1:2\"\n[cluster]\n"
                         << "key = \"0123456789abcdef\"\nlisten = \"127.0.0.1:3\"\n[platform]\n"
-                        << "address = \"" << store << "\"\n[log]\nlevel = \"" << level << "\"\n";
+                        << "address = \"" << platform << "\"\n[log]\nlevel = \"" << level << "\"\n";
   }
 
   daemon::CommandLine commandLine() const {
@@ -43,7 +43,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(SettingsWatchTest, WatchFixture)
 
-BOOST_AUTO_TEST_CASE(takes_up_what_may_change_and_names_the_rest) {
+BOOST_AUTO_TEST_CASE(applies_reloadable_settings_and_reports_the_rest) {
   daemon::Settings settings = load();
   daemon::SettingsWatch watch(commandLine());
   BOOST_TEST(!watch.hasChanged());
@@ -51,14 +51,14 @@
   BOOST_TEST(watch.hasChanged());
   const std::optional<daemon::SettingsChange> change = watch.reload(settings);
   BOOST_REQUIRE(change.has_value());
-  BOOST_TEST(change->taken == (std::vector<std::string>{"platform-address", "log-level"}));
+  BOOST_TEST(change->applied == (std::vector<std::string>{"platform-address", "log-level"}));
   BOOST_TEST(change->needsRestart == (std::vector<std::string>{"daemon-zone"}));
   BOOST_TEST((settings.logLevel == daemon::LogLevel::kWarning));
   BOOST_TEST(settings.platform.address.bytes[3] == 2);
   BOOST_TEST(settings.zone == "a");
 }
 
-BOOST_AUTO_TEST_CASE(a_file_that_is_wrong_changes_nothing) {
+BOOST_AUTO_TEST_CASE(invalid_file_changes_nothing) {
   daemon::Settings settings = load();
   daemon::SettingsWatch watch(commandLine());
   write("loud", "10.0.0.2:2379");
@@ -67,7 +67,7 @@
   BOOST_TEST(settings.platform.address.bytes[3] == 1);
 }
 
-BOOST_AUTO_TEST_CASE(a_missing_file_is_no_change) {
+BOOST_AUTO_TEST_CASE(missing_file_is_not_a_change) {
   daemon::SettingsWatch watch(commandLine());
   std::remove(path.c_str());
   BOOST_TEST(!watch.hasChanged());
