--- a/src/daemon/admin_pages.cc
+++ b/src/daemon/admin_pages.cc
@@ -132,13 +132,13 @@
 Json explainJson(const core::Balancer& balancer, const core::Explanation& explanation) {
   const core::BackendId chosen =
       explanation.learned.value_or(explanation.recorded.value_or(explanation.current));
-  const char* rule = "settled bucket: the current back end takes every unknown flow";
+  const char* rule = "settled bucket: the current backend gets every unknown flow";
   if (explanation.learned) {
-    rule = "known flow: this daemon learned its back end";
+    rule = "known flow: this daemon has learned its backend";
   } else if (explanation.recorded) {
-    rule = "home record: this daemon owns the shard and holds a record";
+    rule = "home record: this daemon owns the shard and has a record of the flow";
   } else if (!explanation.settled) {
-    rule = "unsettled bucket: the shard's home decides";
+    rule = "unsettled bucket: the home daemon of the shard selects the backend";
   }
   return {{"service", explanation.service},
           {"backend", backendEndpoint(balancer, chosen)},
@@ -174,12 +174,13 @@
     }
     const std::optional<core::Explanation> explanation = sources.balancer.explain(*flow, now);
     if (!explanation) {
-      return errorResponse(kNotFound, "no service has this destination and protocol");
+      return errorResponse(kNotFound, "no service matches this destination and protocol");
     }
     response.body = explainJson(sources.balancer, *explanation).dump(2) + "\n";
   } else {
-    return errorResponse(kNotFound,
-                         "pages are /metrics, /status, /members, /services and /explain");
+    return errorResponse(
+        kNotFound,
+        "unknown page; available pages are /metrics, /status, /members, /services and /explain");
   }
   return response;
 }
--- a/src/daemon/admin_pages.h
+++ b/src/daemon/admin_pages.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the admin page answers: the daemon's view as JSON.
+/// Content of the admin pages: metrics as text, the daemon's state as JSON.
 #pragma once
 
 #include "daemon/admin_server.h"
@@ -7,7 +7,9 @@
 
 namespace cobaltgauge::daemon {
 
-/// Answers /metrics, /status, /members, /services and /explain. Runs on the daemon's thread.
+/// Renders /metrics, /status, /members, /services and /explain. Must run on the daemon's event loop
+/// thread.
+/// @return the page; status 404 for an unknown path or flow, 400 for a malformed flow.
 AdminResponse renderAdminPage(const AdminRequest& request, const MetricSources& sources,
                               core::Time now);
 
--- a/src/daemon/admin_server.h
+++ b/src/daemon/admin_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP admin page: metrics as text, and the daemon's view as JSON. Read-only.
+/// HTTP server of the admin pages. Read-only.
 #pragma once
 
 #include <functional>
@@ -15,10 +15,10 @@
 
 namespace cobaltgauge::daemon {
 
-/// One question of an operator.
+/// A GET request for an admin page.
 struct AdminRequest {
-  std::string path;  ///< Without query.
-  std::string flow;  ///< Parameter of /explain: "udp SOURCE DESTINATION".
+  std::string path;  ///< Without the query string.
+  std::string flow;  ///< Query parameter of /explain, such as "udp SOURCE:PORT DESTINATION:PORT".
 };
 
 struct AdminResponse {
@@ -29,13 +29,14 @@
 
 class AdminServer {
  public:
-  /// @param handler called on the server's thread; must hand over to the daemon's thread itself.
+  /// @param handler called on the server's thread; has to synchronize with the daemon's thread.
   explicit AdminServer(std::function<AdminResponse(const AdminRequest&)> handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  /// @return false where the endpoint cannot be bound; see lastReason().
+  /// Binds the endpoint and starts the server's thread; port 0 selects a free port.
+  /// @return false if the endpoint cannot be bound; see lastReason().
   bool open(const core::Endpoint& endpoint);
   std::uint16_t port() const { return port_; }
   const std::string& lastReason() const { return lastReason_; }
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -13,9 +13,9 @@
 namespace cobaltgauge::daemon {
 namespace {
 
-/// Longest wait for acknowledgements of a handover after the linger has ended.
+/// Maximum wait for handover acknowledgements after the linger time.
 constexpr core::Duration kHandoverTimeout = std::chrono::seconds(5);
-/// Time that the last messages need to leave the socket.
+/// Delay before the event loop stops, so that the final messages are sent.
 constexpr auto kFinalSendDelay = std::chrono::milliseconds(100);
 constexpr auto kAdminTimeout = std::chrono::seconds(2);
 
@@ -208,7 +208,8 @@
   });
   if (future.wait_for(kAdminTimeout) != std::future_status::ready) {
     constexpr int kServiceUnavailable = 503;
-    return {kServiceUnavailable, "text/plain", "the daemon is busy or stopping\n"};
+    return {kServiceUnavailable, "text/plain",
+            "the daemon did not respond in time; it is busy or stopping\n"};
   }
   return future.get();
 }
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,5 +1,6 @@
 /// @file
-/// The daemon process: owns the core and connects it to sockets, the platform and operators.
+/// The daemon of recorded steering: connects the balancer core to the data and peer sockets, the
+/// platform client and the admin server.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -24,9 +25,10 @@
  public:
   explicit Daemon(Settings settings);
 
-  /// Opens every socket. @return false on failure; see lastReason().
+  /// Opens all sockets and starts the admin server and the platform reader.
+  /// @return false on failure; see lastReason().
   bool open();
-  /// Runs until a planned stop has ended.
+  /// Runs the event loop until a graceful shutdown is complete.
   void run();
   const std::string& lastReason() const { return lastReason_; }
 
--- a/src/daemon/data_plane.cc
+++ b/src/daemon/data_plane.cc
@@ -9,7 +9,7 @@
 namespace cobaltgauge::daemon {
 namespace {
 
-/// Packets handled before other work gets its turn.
+/// Maximum number of packets handled before control returns to the event loop.
 constexpr int kBatchSize = 64;
 constexpr int kSocketBufferBytes = 4 << 20;
 
--- a/src/daemon/data_plane.h
+++ b/src/daemon/data_plane.h
@@ -1,5 +1,5 @@
 /// @file
-/// Moves packets: Geneve in, a verdict of the core, Geneve out.
+/// Receives Geneve packets, applies the verdict of the balancer core and sends the result.
 #pragma once
 
 #include <array>
@@ -39,7 +39,7 @@
   const std::string& lastReason() const { return lastReason_; }
   core::Endpoint localEndpoint() const;
 
-  /// Handles a packet that a peer passed on.
+  /// Handles a packet forwarded by a peer.
   void onForwardedPacket(const net::ForwardedPacket& forwarded, core::Time now);
 
   const DataPlaneCounters& counters() const { return counters_; }
--- a/src/daemon/log.cc
+++ b/src/daemon/log.cc
@@ -20,7 +20,6 @@
 
 namespace logging = boost::log;
 
-/// Some seconds of lines at the highest volume that is logged.
 constexpr std::size_t kBufferBytes = 256U << 10U;
 
 LogBuffer& buffer() {
@@ -28,7 +27,7 @@
   return instance;
 }
 
-/// Boost.Log's way to the buffer.
+/// Boost.Log sink that writes formatted records to the buffer.
 class BufferSink : public logging::sinks::basic_formatted_sink_backend<char> {
  public:
   void consume(const logging::record_view&, const string_type& line) { buffer().append(line); }
--- a/src/daemon/log.h
+++ b/src/daemon/log.h
@@ -1,5 +1,5 @@
 /// @file
-/// Structured logs: one record a line, key=value, through Boost.Log.
+/// Structured logging through Boost.Log: one record per line as key=value pairs.
 #pragma once
 
 #include <string>
@@ -10,23 +10,23 @@
 
 namespace cobaltgauge::daemon {
 
-/// Fields of a record in the order in which they are written.
+/// Key and value pairs of a record, in output order.
 using LogFields = std::vector<std::pair<const char*, std::string>>;
 
-/// Prepares logging to standard output. Call once. Lines wait in a bounded buffer until flushLog().
+/// Sets up logging to standard output. Must be called once. Records are buffered until flushLog().
 void initializeLog(LogLevel minLevel, const std::string& daemonName);
 
-/// Changes the least severity that is logged.
+/// Sets the minimum severity that is logged.
 void setLogLevel(LogLevel minLevel);
 
-/// Writes waiting lines as far as that does not block. To be called from the event loop.
+/// Writes buffered lines as far as possible without blocking.
 void flushLog();
 
-/// @return how many lines were dropped because the buffer was full.
+/// @return the number of lines dropped because the buffer was full.
 std::uint64_t droppedLogLines();
 
 /// Writes one record: time=... level=... daemon=... event=... and the fields.
-/// Values with blanks, quotes or control characters are quoted.
+/// Empty values and values with spaces, tabs, newlines, quotes, backslashes or '=' are quoted.
 void logEvent(LogLevel level, const char* event, const LogFields& fields = {});
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/log_buffer.cc
+++ b/src/daemon/log_buffer.cc
@@ -8,7 +8,7 @@
 namespace cobaltgauge::daemon {
 namespace {
 
-/// A pipe that is ready takes this much without blocking (PIPE_BUF of POSIX on Linux).
+/// A writable pipe accepts this many bytes without blocking (PIPE_BUF on Linux).
 constexpr std::size_t kMaxWriteBytes = 4096;
 
 bool isWritable(int descriptor) {
--- a/src/daemon/log_buffer.h
+++ b/src/daemon/log_buffer.h
@@ -1,6 +1,6 @@
 /// @file
-/// Holds log lines until they can be written without blocking. Bounded: what does not fit is
-/// dropped and counted, and the count is logged once there is room again.
+/// Bounded buffer of log lines that are written without blocking. Lines that do not fit are dropped
+/// and counted; the count is logged once the buffer has been emptied.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +12,13 @@
 
 class LogBuffer {
  public:
-  /// @param capacity most bytes held.
+  /// @param capacity maximum size of the buffered lines in bytes.
   explicit LogBuffer(std::size_t capacity) : capacity_(capacity) {}
 
-  /// Adds a line without its end; drops it where it does not fit.
+  /// Appends a line, given without its newline, or drops it if it does not fit.
   void append(const std::string& line);
 
-  /// Writes what the descriptor takes at once.
+  /// Writes buffered lines until the descriptor would block.
   void flush(int descriptor);
 
   std::uint64_t dropped() const;
--- a/src/daemon/main.cc
+++ b/src/daemon/main.cc
@@ -35,8 +35,8 @@
   cobaltgauge::daemon::Daemon daemon(settings);
   return run(daemon);
 #else
-  std::cerr << "cobaltgauged: steering.mode = \"recorded\" is not part of this build; it was built "
-               "with COBALTGAUGE_RECORDED_FLOWS=OFF\n";
+  std::cerr << "cobaltgauged: steering.mode = \"recorded\" is not supported by this build "
+               "(COBALTGAUGE_RECORDED_FLOWS=OFF)\n";
   return kUsageError;
 #endif
 }
--- a/src/daemon/metric_table.h
+++ b/src/daemon/metric_table.h
@@ -1,6 +1,5 @@
 /// @file
-/// Metrics as a table: name, help, label, type and where the values come from. Rendered in the
-/// Prometheus text format by prometheus-cpp.
+/// Table-driven metric definitions, rendered in the Prometheus text format by prometheus-cpp.
 #pragma once
 
 #include <prometheus/metric_family.h>
@@ -14,18 +13,18 @@
 
 namespace cobaltgauge::daemon {
 
-/// One sample: the value of the metric's label, empty for a metric without label, and a number.
+/// A label value, empty for a metric without a label, and the sample's value.
 struct MetricSample {
   std::string label;
   double value = 0;
 };
 
-/// One metric, read from `Sources`.
+/// Definition of a metric whose samples are read from `Sources`.
 template <typename Sources>
 struct MetricDefinition {
   const char* name;
   const char* help;
-  const char* label;  ///< Null for a metric without label.
+  const char* label;  ///< Null for a metric without a label.
   prometheus::MetricType type;
   std::function<std::vector<MetricSample>(const Sources&)> read;
 };
@@ -34,7 +33,8 @@
   return {{"", static_cast<double>(value)}};
 }
 
-/// Counts in the order of an enumeration.
+/// @param counts indexed by the values of the enumeration `Reason`.
+/// @return one sample per reason, labelled by its name.
 template <typename Reason, std::size_t N>
 std::vector<MetricSample> byReason(const std::array<std::uint64_t, N>& counts) {
   std::vector<MetricSample> samples;
@@ -55,12 +55,13 @@
   return samples;
 }
 
-/// @return the family of one metric.
+/// Builds the metric family of one metric.
+/// @param label name of the label, or null.
 prometheus::MetricFamily makeFamily(const char* name, const char* help, const char* label,
                                     prometheus::MetricType type,
                                     const std::vector<MetricSample>& samples);
 
-/// @return the families of a whole table.
+/// Reads all metrics of a table.
 template <typename Sources>
 std::vector<prometheus::MetricFamily> readTable(
     const std::vector<MetricDefinition<Sources>>& definitions, const Sources& sources) {
@@ -73,7 +74,7 @@
   return families;
 }
 
-/// @return metrics as text.
+/// @return the metrics in the Prometheus text format.
 std::string renderMetrics(const std::vector<prometheus::MetricFamily>& families);
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -1,6 +1,5 @@
 /// @file
-/// The daemon's metrics in the Prometheus text format. Every metric is declared in one table, which
-/// docs/METRICS.md repeats for operators.
+/// Metrics of the daemon of recorded steering. The table in metrics.cc must match docs/METRICS.md.
 #pragma once
 
 #include <string>
@@ -11,14 +10,14 @@
 
 namespace cobaltgauge::daemon {
 
-/// Where the values are read from.
+/// Objects from which the metrics are read.
 struct MetricSources {
   const core::Balancer& balancer;
   const DataPlane& data;
   const net::PeerTransport& peers;
 };
 
-/// @return all metrics as text, by prometheus-cpp.
+/// @return all metrics in the Prometheus text format.
 std::string metricsText(const MetricSources& sources);
 
 }  // namespace cobaltgauge::daemon
--- a/src/daemon/platform_reader.h
+++ b/src/daemon/platform_reader.h
@@ -1,5 +1,6 @@
 /// @file
-/// Reads the platform on a thread of its own, so that a slow answer never delays a packet.
+/// Reads the configuration and the machine list from the platform on a separate thread, so that a
+/// slow response does not delay packets.
 #pragma once
 
 #include <condition_variable>
@@ -13,23 +14,23 @@
 
 namespace cobaltgauge::daemon {
 
-/// Everything that one round of reads gave.
+/// Result of one read of the configuration and the machine list.
 struct PlatformReadResult {
   std::optional<core::ConfigurationDocument> configuration;
   std::optional<configuration::MachineList> machines;
-  std::string failure;  ///< Empty where both reads succeeded.
+  std::string failure;  ///< Reason of the first failure; empty if both reads succeeded.
 };
 
 class PlatformReader {
  public:
-  /// @param onResult called on the reader's thread after each round.
+  /// @param onResult called on the reader's thread after each read.
   PlatformReader(configuration::PlatformClient client,
                  std::function<void(PlatformReadResult)> onResult);
   ~PlatformReader();
   PlatformReader(const PlatformReader&) = delete;
   PlatformReader& operator=(const PlatformReader&) = delete;
 
-  /// Asks for one round; ignored while one is running.
+  /// Requests a read. Requests made before the read starts are merged.
   void requestRead();
 
  private:
--- a/src/daemon/policy_weights.h
+++ b/src/daemon/policy_weights.h
@@ -1,6 +1,6 @@
 /// @file
-/// Weighs back ends by the operator's policy program. The program runs when a kind of back end is
-/// first seen, never per packet; back ends that differ only in name get one run.
+/// Placement weights computed by the operator's policy program. Results are cached by the
+/// attributes that the program receives, so that it does not run per packet.
 #pragma once
 
 #include <map>
@@ -14,11 +14,11 @@
 
 class PolicyWeights : public core::PlacementWeights {
  public:
-  /// @param zone this daemon's; back ends in it are marked `same_zone`.
+  /// @param zone zone of this daemon; the program sees backends in it as `same_zone`.
   explicit PolicyWeights(std::string zone) : zone_(std::move(zone)) {}
 
-  /// Takes a program after a trial run. @return false where it fails; see lastReason(). The program
-  /// taken before stays then.
+  /// Replaces the program after a successful trial run.
+  /// @return false if the trial run fails; the previous program stays active. See lastReason().
   bool load(const std::string& source);
   const std::string& lastReason() const { return evaluator_.lastReason(); }
 
--- a/src/daemon/settings.h
+++ b/src/daemon/settings.h
@@ -1,6 +1,5 @@
 /// @file
-/// Settings of the daemon: declared once with documentation and checks, read from a TOML file and
-/// from command-line flags. A flag goes before the file.
+/// Settings of the daemon, read from a TOML file and command-line flags. Flags override the file.
 #pragma once
 
 #include <chrono>
@@ -15,16 +14,16 @@
 
 namespace cobaltgauge::daemon {
 
-/// How packets of open flows find their back end.
+/// How the backend of a packet of an established flow is determined.
 enum class SteeringMode : std::uint8_t {
-  kRecorded,  ///< Geneve packets; daemons record the flows that do not follow the table.
-  kToken,     ///< Packets of the surrounding platform, which return a token of ours.
+  kRecorded,  ///< Geneve packets; daemons record flows that differ from the placement.
+  kToken,     ///< Platform packets, in which clients echo a token issued by a daemon.
 };
 
-/// What a token holds.
+/// Content of a token.
 enum class TokenForm : std::uint8_t {
-  kAddress,  ///< The back end's address where it fits; a daemon without a view can use it.
-  kHash,     ///< A hash of the back end's id; only a view resolves it.
+  kAddress,  ///< The backend's address if it fits; resolvable without a view.
+  kHash,     ///< A hash of the backend's id; resolvable only with a view.
 };
 
 enum class LogLevel : std::uint8_t { kDebug, kInfo, kWarning, kError };
@@ -33,7 +32,7 @@
   std::string name;
   std::string zone = "default";
   std::string region = "default";
-  std::map<std::string, std::string> regionsOfZones;  ///< Of all zones that back ends may be in.
+  std::map<std::string, std::string> regionsOfZones;  ///< Region of each zone with backends.
   core::Endpoint dataListen;
   std::uint32_t vni = 1;
   std::size_t flowTableEntries = 1U << 18U;
@@ -43,7 +42,7 @@
   std::string clusterName = "cobaltgauge";
   std::string clusterKey;
   core::Endpoint clusterListen;
-  std::vector<core::Endpoint> clusterSeeds;  ///< With the cluster's port, whatever theirs is.
+  std::vector<core::Endpoint> clusterSeeds;  ///< Their ports are replaced by the cluster port.
   core::Endpoint platform;
   std::chrono::milliseconds platformPollInterval{500};
   std::chrono::milliseconds platformTimeout{1000};
@@ -57,41 +56,39 @@
   std::chrono::milliseconds applyWithin{3000};
   std::chrono::milliseconds drainWithin{3000};
   std::chrono::milliseconds evacuateWithin{3000};
-  bool loadReports = true;     ///< Daemons tell each other of the load they see.
-  bool resetDeadFlows = true;  ///< Of back ends that are proven dead.
+  bool loadReports = true;     ///< Daemons exchange load reports.
+  bool resetDeadFlows = true;  ///< Resets flows of backends confirmed as failed.
   core::Endpoint readinessListen;
-  bool detectUnreachableGroups =
-      true;  ///< Back ends of a zone that are gone together come last together.
-  bool requireReachableBackend = true;  ///< Ready only where some back end is reached.
-  bool spillover = true;                ///< Openings leave zones without room.
-  bool startWithSample =
-      true;  ///< Flows are taken by a sample of the back ends, until all are known.
+  bool detectUnreachableGroups = true;  ///< Deprioritizes them as a group.
+  bool requireReachableBackend = true;  ///< For readiness.
+  bool spillover = true;        ///< Connection attempts may leave zones without spare capacity.
+  bool startWithSample = true;  ///< Accepts flows before the view is full.
   core::PriorityAdmissionOptions admission;
-  std::string policyFile;  ///< Empty: all back ends are weighed alike.
-  /// What the file and the flags gave, by flag; for telling what a reload changes.
+  std::string policyFile;  ///< If empty, all backends have the default weight.
+  /// Explicitly set values by flag name; a reload compares them to find changes.
   std::map<std::string, std::string> givenValues;
 };
 
-/// One setting: where it stands, what it means, what is allowed.
+/// Declaration of a setting.
 struct SettingField {
   const char* section;
   const char* key;
   const char* documentation;
   std::string allowedValues;
   bool required = false;
-  /// Parses and stores a value. @return false where the value is not allowed.
+  /// Parses and stores a value. @return false if the value is not allowed.
   std::function<bool(Settings&, const std::string&)> assign;
-  bool reloadable = false;  ///< Takes effect while the daemon runs.
-  bool isBoolean = false;   ///< Its values are true and false.
+  bool reloadable = false;  ///< Can be changed without a restart.
+  bool isBoolean = false;   ///< The value is true or false.
 
-  /// @return the flag's name without dashes, "section-key" with '-' for '_'.
+  /// @return the name of the flag without leading dashes: "section-key" with '-' in place of '_'.
   std::string flag() const;
 };
 
-/// @return every setting the daemon knows.
+/// @return the declarations of all settings.
 const std::vector<SettingField>& settingFields();
 
-/// What the command line asks for.
+/// Parsed command line.
 struct CommandLine {
   std::string settingsFile;
   std::vector<std::pair<const SettingField*, std::string>> overrides;
@@ -101,12 +98,12 @@
   std::string helpText;
 };
 
-/// Reads settings; keeps the reason of a failure: file, line, field, value and what is allowed.
+/// Reads settings. After a failure, lastReason() gives file, line, field, value and allowed values.
 class SettingsLoader {
  public:
   std::optional<CommandLine> parseCommandLine(int argc, const char* const* argv);
 
-  /// Reads the file, applies the overrides and checks that nothing required is missing.
+  /// Reads the file, applies the overrides and checks that all required settings are present.
   std::optional<Settings> load(const CommandLine& commandLine);
 
   const std::string& lastReason() const { return lastReason_; }
--- a/src/daemon/settings_fields.cc
+++ b/src/daemon/settings_fields.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The table of settings.
+/// Declarations of all settings.
 #include <algorithm>
 #include <charconv>
 
@@ -17,7 +17,7 @@
 constexpr std::uint64_t kMaxVni = (1U << 24U) - 1;
 constexpr std::uint64_t kMaxFlowEntries = 1U << 26U;
 constexpr std::uint64_t kMaxRate = 10'000'000;
-/// With more, lower ranks would no longer come after the higher ones.
+/// A larger share would no longer favour higher priorities.
 constexpr double kMaxReservedShare = 0.5;
 
 SettingField field(const char* section, const char* key, const char* documentation,
@@ -26,7 +26,7 @@
           std::move(assign), false};
 }
 
-/// @return true for settings that take effect while the daemon runs (token steering).
+/// @return true for settings that can be changed without a restart (token steering only).
 bool isReloadable(const std::string& flag) {
   return flag == "log-level" || flag == "steering-stop-grace-ms" ||
          flag == "steering-policy-file" || flag == "steering-silent-groups" ||
@@ -66,7 +66,7 @@
       required);
 }
 
-/// A whole number within bounds, converted to the member's type.
+/// A whole number from `minimum` to `maximum`, converted to the type of the member.
 template <typename T>
 SettingField numberField(const char* section, const char* key, const char* documentation,
                          T Settings::*member, std::uint64_t minimum, std::uint64_t maximum) {
@@ -108,7 +108,7 @@
   return false;
 }
 
-/// @return the items of a list separated by commas; none of an empty text.
+/// @return the items of a comma-separated list; no items for an empty text.
 std::vector<std::string> splitList(const std::string& text) {
   std::vector<std::string> items;
   std::size_t begin = 0;
@@ -120,7 +120,7 @@
   return items;
 }
 
-/// Takes a list of endpoints.
+/// Parses a comma-separated list of endpoints.
 bool assignSeeds(Settings& settings, const std::string& text) {
   settings.clusterSeeds.clear();
   for (const std::string& item : splitList(text)) {
@@ -133,7 +133,7 @@
   return true;
 }
 
-/// Takes a list of ZONE=REGION.
+/// Parses a comma-separated list of ZONE=REGION.
 bool assignRegionsOfZones(Settings& settings, const std::string& text) {
   settings.regionsOfZones.clear();
   for (const std::string& item : splitList(text)) {
@@ -190,112 +190,121 @@
   std::vector<SettingField> fields;
   fields.push_back(nameField("daemon", "name", "Name of this daemon, unique in the cluster",
                              &Settings::name, true));
-  fields.push_back(nameField("daemon", "zone", "Zone this machine is in", &Settings::zone));
-  fields.push_back(nameField("daemon", "region", "Region this machine is in", &Settings::region));
+  fields.push_back(nameField("daemon", "zone", "Zone of this daemon", &Settings::zone));
+  fields.push_back(nameField("daemon", "region", "Region of this daemon", &Settings::region));
   fields.push_back(field("daemon", "regions_of_zones",
-                         "Regions of the zones that back ends are in (token); where a route names "
-                         "regions, back ends of other zones get none of its flows",
+                         "Region of each zone with backends (token); a route that lists regions "
+                         "uses only backends in zones of these regions",
                          "ZONE=REGION, several separated by commas, or nothing",
                          assignRegionsOfZones));
-  fields.push_back(numberField("daemon", "linger_ms",
-                               "Time a planned stop goes on forwarding, in milliseconds",
-                               &Settings::linger, 0, 600'000));
-  fields.push_back(endpointField("data", "listen", "Where Geneve packets arrive (UDP)",
+  fields.push_back(numberField(
+      "daemon", "linger_ms", "Time to keep forwarding during a graceful shutdown, in milliseconds",
+      &Settings::linger, 0, 600'000));
+  fields.push_back(endpointField("data", "listen", "Endpoint that receives Geneve packets (UDP)",
                                  &Settings::dataListen, true));
-  fields.push_back(numberField("data", "vni", "Geneve virtual network of callers' packets",
+  fields.push_back(numberField("data", "vni", "Geneve virtual network identifier of client packets",
                                &Settings::vni, 0, kMaxVni));
-  fields.push_back(numberField("data", "flow_table_entries", "Learned flows held at most",
+  fields.push_back(numberField("data", "flow_table_entries", "Maximum number of learned flows",
                                &Settings::flowTableEntries, 8, kMaxFlowEntries));
   fields.push_back(numberField("data", "flow_idle_seconds",
-                               "Silence after which a learned flow is forgotten",
+                               "Idle time after which a learned flow is removed, in seconds",
                                &Settings::flowIdleTimeout, 1, 86'400));
   fields.push_back(numberField("data", "new_flows_per_second",
-                               "New flows this daemon admits over all services; 0: no limit",
+                               "Maximum rate of new flows admitted over all services; 0: no limit",
                                &Settings::newFlowsPerSecond, 0, kMaxRate));
   fields.push_back(endpointField("data", "fabric_return",
-                                 "Where answers to callers are sent (Geneve over UDP); required "
-                                 "where steering.mode is recorded",
+                                 "Endpoint to which responses to clients are sent (Geneve over "
+                                 "UDP); required if steering.mode is recorded",
                                  &Settings::fabricReturn));
-  fields.push_back(field("steering", "mode", "How packets of open flows find their back end",
+  fields.push_back(field("steering", "mode",
+                         "How the backend of a packet of an established flow is determined",
                          "recorded or token", assignSteering));
   fields.push_back(field("steering", "token_form",
-                         "What tokens hold: a back end's address, by which a daemon without a view "
-                         "reaches it, or a hash of its id",
+                         "Content of tokens: the address of the backend, which daemons without a "
+                         "view can resolve, or a hash of its id",
                          "address or hash", assignTokenForm));
   fields.push_back(field("steering", "spill",
-                         "Whether openings leave the zone that the policy prefers while it has too "
-                         "little room (token)",
+                         "Whether connection attempts spill over to other zones while the zone "
+                         "that the policy prefers lacks capacity (token)",
                          "auto or off", assignSpillover));
   fields.push_back(field("steering", "first_view",
-                         "Whether a daemon that starts takes flows by a sample of the back ends "
-                         "or waits until it knows all (token)",
+                         "Whether a starting daemon accepts flows with a sample of the backends or "
+                         "waits for the full view (token)",
                          "sample or whole", assignInitialView));
-  fields.push_back(numberField("steering", "longest_flow_seconds",
-                               "Age that no flow exceeds; departed back ends are kept as long",
-                               &Settings::maxFlowAge, 1, 86'400));
+  fields.push_back(
+      numberField("steering", "longest_flow_seconds",
+                  "Maximum age of a flow and retention time of departed backends, in seconds",
+                  &Settings::maxFlowAge, 1, 86'400));
   fields.push_back(numberField("steering", "stop_grace_ms",
-                               "Time from SIGTERM until the process must have ended",
+                               "Maximum time from SIGTERM to process exit, in milliseconds",
                                &Settings::stopGrace, 1'000, 600'000));
-  fields.push_back(numberField("steering", "apply_within_ms",
-                               "Time in which a new configuration has to be in force (token)",
-                               &Settings::applyWithin, 500, 600'000));
-  fields.push_back(numberField("steering", "drain_within_ms",
-                               "Time after which a leaving back end must get no new flow (token)",
-                               &Settings::drainWithin, 500, 600'000));
   fields.push_back(
-      numberField("steering", "evacuate_within_ms",
-                  "Time after which a zone that is taken out must get no new flow (token)",
-                  &Settings::evacuateWithin, 500, 600'000));
-  fields.push_back(numberField("steering", "reset_dead_flows",
-                               "1: open flows of a back end that is proven dead are reset (token)",
-                               &Settings::resetDeadFlows, 0, 1));
-  fields.push_back(field(
-      "steering", "policy_file", "Policy program that weighs back ends for new flows (token)",
-      "the path of a Lua file; empty: all alike", [](Settings& settings, const std::string& text) {
-        settings.policyFile = text;
-        return true;
-      }));
+      numberField("steering", "apply_within_ms",
+                  "Time within which a new configuration has to be active, in milliseconds (token)",
+                  &Settings::applyWithin, 500, 600'000));
+  fields.push_back(numberField(
+      "steering", "drain_within_ms",
+      "Time after which a draining backend must not get new flows, in milliseconds (token)",
+      &Settings::drainWithin, 500, 600'000));
+  fields.push_back(numberField(
+      "steering", "evacuate_within_ms",
+      "Time after which an evacuated zone must not get new flows, in milliseconds (token)",
+      &Settings::evacuateWithin, 500, 600'000));
+  fields.push_back(numberField(
+      "steering", "reset_dead_flows",
+      "1: flows of a backend that is confirmed as failed are reset; 0: they are not (token)",
+      &Settings::resetDeadFlows, 0, 1));
+  fields.push_back(
+      field("steering", "policy_file",
+            "Policy program that computes the weights of backends for new flows (token)",
+            "the path of a Lua file; empty: equal weights",
+            [](Settings& settings, const std::string& text) {
+              settings.policyFile = text;
+              return true;
+            }));
   fields.push_back(field("admission", "order",
-                         "Which openings are refused while back ends are full: those of the lowest "
-                         "rank first, or none (token)",
+                         "Which connection attempts are rejected while backends are overloaded: "
+                         "those of the lowest priority first, or none (token)",
                          "rank or off", assignAdmissionOrder));
   fields.push_back(field("admission", "least_share",
-                         "Share of what full back ends accept that is kept for all ranks but the "
-                         "highest (token)",
+                         "Share of the capacity of overloaded backends that is reserved for all "
+                         "priorities below the highest (token)",
                          "a number from 0 to 0.5", assignReservedShare));
-  fields.push_back(booleanField("load", "reports",
-                                "Daemons tell each other of the load they see (token)",
+  fields.push_back(booleanField("load", "reports", "Whether daemons exchange load reports (token)",
                                 &Settings::loadReports));
-  fields.push_back(endpointField("readiness", "listen",
-                                 "Where GET /ready is answered; required where steering.mode is "
-                                 "token",
-                                 &Settings::readinessListen));
+  fields.push_back(endpointField(
+      "readiness", "listen",
+      "Endpoint of the HTTP readiness check (GET /ready); required if steering.mode is token",
+      &Settings::readinessListen));
   fields.push_back(booleanField("steering", "silent_groups",
-                                "Whether back ends of a zone that are gone together come last "
-                                "together (token)",
+                                "Whether backends of a zone that become unreachable together are "
+                                "deprioritized as a group (token)",
                                 &Settings::detectUnreachableGroups));
   fields.push_back(booleanField("readiness", "require_reach",
-                                "Whether a daemon that reaches none of the back ends that its "
-                                "callers need says that it is not ready (token)",
+                                "Whether a daemon reports not ready while it reaches none of the "
+                                "backends that its clients need (token)",
                                 &Settings::requireReachableBackend));
   fields.push_back(nameField("cluster", "name", "Name of the cluster", &Settings::clusterName));
   fields.push_back(field("cluster", "key", "Secret shared by the cluster's daemons",
                          "16 to 256 bytes", assignKey, true));
-  fields.push_back(endpointField("cluster", "listen", "Where peers reach this daemon (UDP, TCP)",
+  fields.push_back(endpointField("cluster", "listen", "Endpoint for messages from peers (UDP, TCP)",
                                  &Settings::clusterListen, true));
-  fields.push_back(field("cluster", "seeds",
-                         "Daemons that may exist (token); their ports are taken as the cluster's",
-                         "ADDRESS:PORT, several separated by commas, or nothing", assignSeeds));
-  fields.push_back(endpointField("platform", "address", "The platform's configuration service",
+  fields.push_back(
+      field("cluster", "seeds",
+            "Endpoints of possible peers (token); their ports are replaced by the cluster port",
+            "ADDRESS:PORT, several separated by commas, or nothing", assignSeeds));
+  fields.push_back(endpointField("platform", "address",
+                                 "Endpoint of the platform's configuration service",
                                  &Settings::platform, true));
-  fields.push_back(numberField("platform", "poll_interval_ms", "Time between two reads",
+  fields.push_back(numberField("platform", "poll_interval_ms",
+                               "Interval between reads, in milliseconds",
                                &Settings::platformPollInterval, 50, 600'000));
-  fields.push_back(numberField("platform", "timeout_ms", "Longest wait for one answer",
+  fields.push_back(numberField("platform", "timeout_ms", "Response timeout, in milliseconds",
                                &Settings::platformTimeout, 50, 60'000));
-  fields.push_back(endpointField("admin", "listen",
-                                 "Where the admin page and metrics are served; port 0 picks one",
-                                 &Settings::adminListen));
-  fields.push_back(field("log", "level", "Least severity that is logged",
+  fields.push_back(endpointField(
+      "admin", "listen", "Endpoint of the admin pages and metrics; port 0 selects a free port",
+      &Settings::adminListen));
+  fields.push_back(field("log", "level", "Minimum severity that is logged",
                          "one of debug, info, warning, error", assignLogLevel));
   for (SettingField& item : fields) {
     item.reloadable = isReloadable(item.flag());
--- a/src/daemon/settings_loader.cc
+++ b/src/daemon/settings_loader.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Reads settings from TOML (tomlplusplus) and flags (popt).
+/// Reads settings from TOML files (toml++) and command-line flags (popt).
 #include <popt.h>
 #include <toml++/toml.h>
 
@@ -34,8 +34,8 @@
                      [section](const SettingField& field) { return section == field.section; });
 }
 
-/// @return the value as text; only texts and numbers are settings.
-/// @param acceptsBoolean true and false are values of the field.
+/// @param acceptsBoolean whether the field accepts booleans.
+/// @return the value as text, or nothing for other types than strings and numbers.
 std::optional<std::string> valueText(const toml::node& node, bool acceptsBoolean) {
   if (const auto text = node.value_exact<std::string>()) {
     return *text;
@@ -62,10 +62,10 @@
 std::string helpText() {
   std::ostringstream out;
   out << "usage: cobaltgauged --settings FILE [--check] [FLAGS]\n\n"
-         "  --settings FILE   settings in TOML; every flag below can also stand there\n"
-         "  --check           check the settings and stop\n"
-         "  --version         print the version and stop\n"
-         "  --help            print this text and stop\n\n";
+         "  --settings FILE   read settings from a TOML file; flags override it\n"
+         "  --check           check the settings and exit\n"
+         "  --version         print the version and exit\n"
+         "  --help            print this help and exit\n\n";
   for (const SettingField& field : settingFields()) {
     out << "  --" << field.flag() << "=VALUE   [" << field.section << "] " << field.key << ": "
         << field.documentation << " (" << field.allowedValues
@@ -75,7 +75,7 @@
 }
 
 std::string invalidValueMessage(const SettingField& field, const std::string& value) {
-  // The key is a secret and is never shown.
+  // The cluster key must not appear in error messages.
   const bool isSecret = std::string_view(field.key) == "key";
   return std::string(field.section) + "." + field.key + ": got " +
          (isSecret ? "a value of " + std::to_string(value.size()) + " bytes"
@@ -83,7 +83,7 @@
          "; allowed is " + field.allowedValues;
 }
 
-/// @return the setting that the way of steering needs and that is not there, or null.
+/// @return the missing setting that the steering mode requires, or null.
 const char* findMissingForMode(const Settings& settings) {
   if (settings.steering == SteeringMode::kRecorded && settings.fabricReturn == core::Endpoint{}) {
     return "data.fabric_return";
@@ -212,7 +212,7 @@
     }
   }
   if (const char* missing = findMissingForMode(settings)) {
-    return fail(std::string(missing) + ": missing; steering.mode needs it");
+    return fail(std::string(missing) + ": missing; required by steering.mode");
   }
   return settings;
 }
--- a/src/daemon/settings_watch.cc
+++ b/src/daemon/settings_watch.cc
@@ -23,7 +23,7 @@
 
 bool SettingsWatch::hasChanged() {
   const FileIdentity current = readFileIdentity();
-  // A file that is missing is on its way; what was read stays.
+  // A missing file is ignored: it may be in the middle of being replaced.
   const bool changed = current != fileIdentity_ && current != FileIdentity{};
   if (changed) {
     fileIdentity_ = current;
--- a/src/daemon/settings_watch.h
+++ b/src/daemon/settings_watch.h
@@ -1,7 +1,6 @@
 /// @file
-/// Notices that the settings file has changed, with or without a signal, and reads it again. What
-/// can change while the process runs is taken up; a file that is wrong, or that changes anything
-/// else, leaves the settings as they are.
+/// Detects changes of the settings file and reloads it. Only reloadable settings are applied; an
+/// invalid file changes nothing.
 #pragma once
 
 #include <sys/types.h>
@@ -14,26 +13,26 @@
 
 namespace cobaltgauge::daemon {
 
-/// What a changed file means for a running daemon.
+/// Result of a reload.
 struct SettingsChange {
-  std::vector<std::string> applied;       ///< Flags of settings that have new values.
-  std::vector<std::string> needsRestart;  ///< Flags of settings whose new values wait for one.
+  std::vector<std::string> applied;       ///< Flags of settings whose new values were applied.
+  std::vector<std::string> needsRestart;  ///< Flags of changed settings that were not applied.
 };
 
 class SettingsWatch {
  public:
   explicit SettingsWatch(CommandLine commandLine);
 
-  /// @return true where the file is another one than at the last call.
+  /// @return true if the file has changed since the last call or reload().
   bool hasChanged();
 
-  /// Reads the file again and puts what may change into `settings`.
-  /// @return what changed, or nothing where the file is wrong; see lastReason().
+  /// Reads the file and applies changed reloadable settings to `settings`.
+  /// @return the changes, or nothing if the file is invalid; see lastReason().
   std::optional<SettingsChange> reload(Settings& settings);
   const std::string& lastReason() const { return loader_.lastReason(); }
 
  private:
-  /// Identity of a file's content as far as the file system tells.
+  /// File attributes that change when the file is replaced or rewritten.
   struct FileIdentity {
     ino_t inode = 0;
     off_t size = 0;
--- a/src/daemon/system_random.h
+++ b/src/daemon/system_random.h
@@ -1,5 +1,5 @@
 /// @file
-/// Randomness of a running daemon, seeded by the operating system.
+/// Random numbers seeded from std::random_device.
 #pragma once
 
 #include <random>
--- a/tests/daemon/settings_test.cc
+++ b/tests/daemon/settings_test.cc
@@ -25,7 +25,7 @@
 address = "127.0.0.1:8080"
 )";
 
-/// A settings file that is removed at the end of the test.
+/// A temporary settings file.
 class SettingsFile {
  public:
   explicit SettingsFile(const std::string& text) : path_("/tmp/cobaltgauge-settings-XXXXXX") {
@@ -60,7 +60,7 @@
   }
   auto settings = loader.load(*commandLine);
   std::string reason = loader.lastReason();
-  // The file's name differs in every run; the line after it does not.
+  // Replaces the random file name.
   const std::size_t start = reason.find(file.path());
   if (start != std::string::npos) {
     reason.replace(start, file.path().size(), "FILE");
--- a/tests/daemon/settings_watch_test.cc
+++ b/tests/daemon/settings_watch_test.cc
@@ -9,7 +9,7 @@
 namespace cobaltgauge::tests {
 namespace {
 
-/// A settings file that can be rewritten.
+/// A temporary settings file that tests rewrite.
 struct WatchFixture {
   std::string path = "/tmp/cobaltgauge-settings-watch-" + std::to_string(::getpid()) + ".toml";
 
