--- a/src/daemon/metrics.h
+++ b/src/daemon/metrics.h
@@ -1,5 +1,5 @@
 /// @file
-/// Metrics of the daemon of recorded steering. The table in metrics.cc must match docs/METRICS.md.
+/// Metrics of the daemon of recorded steering. Documented in docs/METRICS.md.
 #pragma once
 
 #include <string>
