--- a/scripts/account.py
+++ b/scripts/account.py
@@ -1,16 +1,16 @@
 #!/usr/bin/env python3
-"""Says where a day's worth went: what was lost when no daemon ran, and what while one did.
+"""Splits the lost credit of a scenario run into unavoidable and avoidable loss.
 
     scripts/account.py SITE.toml REPORT.json LOG.txt
 
-SITE is a deployment's file, REPORT and LOG what a run of one of its days left (`--report`, and
-`--log all` on standard output). For each stretch of seconds with a loss it prints how much lay in
-the dark, when no daemon had power, how much of that nobody can serve, and which packets were
-dropped. The last line is the figure "reached of possible".
+SITE is a deployment file, REPORT and LOG are the outputs of a run with `--report` and `--log all`.
+For each time window with a loss, prints the loss, the part of it that is unavoidable because no
+daemon was running, and the most frequent reasons for dropped packets. The last line relates the
+credit to the highest possible credit.
 
-The ceiling is what a fleet would earn that serves at once whatever reaches it: a request that is
-sent in the dark is served by the first of its caller's repetitions after it, and earns what its
-aim and deadline then leave.
+The highest possible credit is that of a fleet that serves every packet it receives at once. A
+request sent during an outage is served when its client first retransmits it after the outage, and
+earns what its target time and deadline then allow.
 """
 
 import collections
@@ -21,18 +21,18 @@
 
 import fleet_log
 
-# When a caller sends again, in seconds after the first time.
+# Transmission times of a client, relative to the first transmission.
 DATA_SEND_TIMES_SECONDS = (0.0, 0.2, 0.6, 1.4, 3.0, 4.6, 6.2, 7.8)
 OPENING_SEND_TIMES_SECONDS = (0.0, 0.2, 0.6)
 OPENING_ATTEMPT_SECONDS = 1.4
-STEPS_PER_SECOND = 200  # Of the integration over sending times.
+STEPS_PER_SECOND = 200  # Resolution of the integration over sending times.
 REASON = re.compile(r" reason=([a-z_]+)")
-LOG_BUFFER_SECONDS = 0.3  # Lines wait in a daemon for at most this long; a kill takes them with it.
-MIN_REPORTED_LOSS = 0.002  # Share of a window's credit that is worth a row.
+LOG_BUFFER_SECONDS = 0.3  # A killed daemon loses log lines buffered for up to this long.
+MIN_REPORTED_LOSS = 0.002  # Share of a window's credit; smaller losses are not printed.
 
 
 def read_log(path):
-    """Returns the times of all daemons' lines and starts, and the drops by second and reason."""
+    """Returns the times of lines and starts by daemon, and the drops by second and reason."""
     lines, starts = collections.defaultdict(list), collections.defaultdict(list)
     drops = collections.defaultdict(collections.Counter)
     for at, node, event, fields in fleet_log.read_records(path):
@@ -46,20 +46,21 @@
 
 
 def process_lifetimes(lines, starts):
-    """Returns the lives of one daemon: from a start to its last line before the next."""
+    """Returns (start, end) of each process of a daemon; a process ends with its last log line."""
     ends = starts[1:] + [float("inf")]
     lifetimes = []
     for begin, limit in zip(starts, ends):
         within = [at for at in lines if begin <= at < limit]
-        # Two starts may show the same time: the first life then left no line of its own.
+        # Two starts at the same time leave the first process without a line of its own.
         end = (within or [begin])[-1]
         lifetimes.append((begin, end if limit < float("inf") else float("inf")))
     return lifetimes
 
 
 def find_outages(lines, starts):
-    """Returns the spans in which no daemon ran, after the traffic began."""
-    lifetimes = sorted(lifetime for node in starts for lifetime in process_lifetimes(lines[node], starts[node]))
+    """Returns the intervals after the start of traffic in which no daemon was running."""
+    lifetimes = sorted(lifetime for node in starts
+                       for lifetime in process_lifetimes(lines[node], starts[node]))
     outages, covered_until = [], None
     for begin, end in lifetimes:
         if covered_until is not None and begin > covered_until + 0.05 and covered_until > 0:
@@ -69,15 +70,16 @@
 
 
 def send_times(kind):
-    """Returns the times, after the first sending, at which something of a request is sent."""
+    """Returns a request's transmission times in seconds, relative to the first transmission."""
     if kind.get("habit") != "fresh":
         return DATA_SEND_TIMES_SECONDS
     tries = 1 + kind.get("retries", 0)
-    return tuple(n * OPENING_ATTEMPT_SECONDS + at for n in range(tries) for at in OPENING_SEND_TIMES_SECONDS)
+    return tuple(n * OPENING_ATTEMPT_SECONDS + at
+                 for n in range(tries) for at in OPENING_SEND_TIMES_SECONDS)
 
 
 def earned_share(kind, wait):
-    """Returns the share of a request's worth that is earned if it is first taken after `wait` s."""
+    """Returns the share of its worth that a request earns if accepted after `wait` seconds."""
     answered = wait + kind["work_ms"]["mean"] / 1000
     if answered <= kind["aim_ms"] / 1000:
         return 1.0
@@ -87,7 +89,7 @@
 
 
 def unavoidable_loss(kind, outage, window):
-    """Returns the seconds' worth of a kind that nobody can earn, of a window."""
+    """Returns the unavoidable loss of a request class in a window, in seconds of its traffic."""
     begin, end = outage
     low, high = max(begin, window[0]), min(end, window[1])
     steps = max(0, int((high - low) * STEPS_PER_SECOND))
@@ -100,10 +102,11 @@
 
 
 def align_to_events(outages, events):
-    """Returns the spans, begun at the event that ended the daemons: their last lines are lost."""
+    """Moves the start of each outage to its cause, since buffered log lines are lost."""
     moved = []
     for begin, end in outages:
-        causes = [event["at_s"] for event in events if begin <= event["at_s"] < begin + LOG_BUFFER_SECONDS]
+        causes = [event["at_s"] for event in events
+                  if begin <= event["at_s"] < begin + LOG_BUFFER_SECONDS]
         moved.append((min([*causes, end]) if causes else begin, end))
     return moved
 
@@ -119,22 +122,23 @@
     outages = align_to_events(find_outages(lines, starts), report["events"])
     kinds = {kind["name"]: kind for kind in site["classes"]}
     requested_worth = {row["name"]: row["n"] * kinds[row["name"]].get("worth", 1)
-             for row in report["classes"] if row["name"] in kinds}
+                       for row in report["classes"] if row["name"] in kinds}
     total = sum(requested_worth.values())
     windows = [(float(row["name"]), row["n"], row["worth"]) for row in report["windows"]]
     width = windows[1][0] - windows[0][0]
     requests = sum(n for _, n, _ in windows)
     unavoidable_sum = lost_sum = 0.0
-    print("seconds  lost  in the dark, unavoidable  dropped, refused, reset")
+    print("seconds  lost  unavoidable in outages  dropped, refused, reset")
     for begin, n, worth in windows:
-        share = n / requests  # Of the day's credit; kinds mix alike in all windows.
+        share = n / requests  # Of the total credit; assumes the same class mix in each window.
         lost = (1 - worth) * share
         window = (begin, begin + width)
         unavoidable = sum(
-            unavoidable_loss(kinds[name], outage, window) / width * share * requested_worth[name] / total
+            unavoidable_loss(kinds[name], outage, window) / width
+            * share * requested_worth[name] / total
             for name in requested_worth for outage in outages)
         modelled = unavoidable
-        unavoidable = min(unavoidable, lost)  # What was earned was possible.
+        unavoidable = min(unavoidable, lost)  # The model must not exceed the measured loss.
         lost_sum, unavoidable_sum = lost_sum + lost, unavoidable_sum + unavoidable
         if lost < MIN_REPORTED_LOSS * share:
             continue
@@ -143,7 +147,7 @@
         drop_counts = ", ".join(f"{reason} {count}" for reason, count in counts.most_common(4))
         print(f"{begin:5.0f}-{begin + width:<4.0f} {lost:.4f}  {modelled:.4f}  {drop_counts}")
     for begin, end in outages:
-        print(f"dark from {begin:.2f} to {end:.2f}")
+        print(f"no daemon running from {begin:.2f} to {end:.2f}")
     prices = sum(price for _, _, price in report["prices"])
     print(f"credit {1 - lost_sum:.4f}, possible {1 - unavoidable_sum:.4f}, prices {prices:.4f}, "
           f"worth {report['G']:.4f}; reached of possible "
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,6 +1,6 @@
-"""The demo: a local fleet carries standing sessions through changes and faults.
+"""Demo: a local fleet serves long-lived sessions through changes and faults.
 
-Exit status is 0 where the history breaks no rule, else 1.
+The exit status is 0 if the recorded history has no violation.
 """
 
 import glob
@@ -21,7 +21,7 @@
 WATCH_SESSIONS = 300
 PACKET_SESSIONS = 40
 CLIENT_SECONDS = 48
-SESSIONS_PER_BATCH = 15  # Opened at each of WALK_IN_SECONDS, so that new flows meet every fault.
+SESSIONS_PER_BATCH = 15  # Sessions opened at each of BATCH_START_SECONDS.
 BATCH_START_SECONDS = [6, 9, 11, 13, 16, 20, 23, 27, 29, 31, 34, 36, 39, 42, 45]
 
 
@@ -60,41 +60,41 @@
     fleet.services["rate-watch"].policy = policy.replace(
         "return math.min(1000, backend.capacity // 20)",
         'if backend.zone == "hall-1" then return 150 end\n  return 100')
-    fleet.publish("policy replaced: hall-1 takes half as much again")
+    fleet.publish("policy replaced: hall-1 gets 1.5 times the weight")
 
 
 def drain_backend(fleet):
     fleet.services["rate-watch"].backends["rw-3"]["state"] = "leaving"
     fleet.record("backend_leaving", actor="rw-3")
-    fleet.publish("back end rw-3 leaves")
+    fleet.publish("backend rw-3 is draining")
 
 
 def add_backend(fleet):
     fleet.start_backend("rate-watch", "rw-16", "hall-2")
     time.sleep(0.3)
-    fleet.publish("back end rw-16 added")
+    fleet.publish("backend rw-16 added")
 
 
 def evacuate_zone(fleet):
     fleet.services["rate-watch"].evacuated_zones = ["hall-3"]
-    fleet.publish("hall-3 is taken out: its back ends get no new flow")
+    fleet.publish("hall-3 is evacuated: its backends receive no new flow")
 
 
 def restore_zone(fleet):
     fleet.services["rate-watch"].evacuated_zones = []
-    fleet.publish("hall-3 is taken back")
+    fleet.publish("hall-3 is restored")
 
 
 def kill_daemon(fleet):
     record_fault(fleet, "daemon lb-2 is killed")
     fleet.signal("lb-2", signal.SIGKILL)
-    time.sleep(0.5)  # The fabric notices late.
+    time.sleep(0.5)  # The fabric detects the failure with a delay.
     fleet.daemons["lb-2"]["receives_traffic"] = False
     fleet.write_machines()
 
 
 def stop_daemon(fleet):
-    record_fault(fleet, "daemon lb-4 stops as planned")
+    record_fault(fleet, "daemon lb-4 is shut down")
     fleet.signal("lb-4", signal.SIGTERM)
     time.sleep(0.3)
     fleet.daemons["lb-4"]["receives_traffic"] = False
@@ -109,12 +109,12 @@
 
 
 def pause_daemon(fleet):
-    record_fault(fleet, "daemon lb-1 freezes")
+    record_fault(fleet, "daemon lb-1 is suspended")
     fleet.signal("lb-1", signal.SIGSTOP)
 
 
 def resume_daemon(fleet):
-    record_fault(fleet, "daemon lb-1 wakes")
+    record_fault(fleet, "daemon lb-1 is resumed")
     fleet.signal("lb-1", signal.SIGCONT)
 
 
@@ -130,7 +130,7 @@
 
 
 def serve_current_configuration(fleet):
-    record_fault(fleet, "platform_up: it serves the present configuration")
+    record_fault(fleet, "platform_up: it serves the current configuration")
     fleet.processes["platform"].terminate()
     fleet.wait("platform", 10)
     fleet.start_platform()
@@ -139,18 +139,18 @@
 def drain_during_pause(fleet):
     fleet.services["rate-watch"].backends["rw-5"]["state"] = "leaving"
     fleet.record("backend_leaving", actor="rw-5")
-    fleet.publish("back end rw-5 leaves while lb-1 is frozen")
+    fleet.publish("backend rw-5 is draining while lb-1 is suspended")
 
 
-# Seconds after the callers started, and what happens then.
+# (seconds after the start of the clients, action)
 STEPS = [(5, replace_policy), (8, drain_backend), (12, add_backend), (15, kill_daemon),
          (19, stop_daemon), (22, join_daemon), (25, pause_daemon), (26, drain_during_pause),
-         (30, resume_daemon), (33, stop_platform), (35, serve_stale_configuration), (38, serve_current_configuration),
-         (41, evacuate_zone), (44, restore_zone)]
+         (30, resume_daemon), (33, stop_platform), (35, serve_stale_configuration),
+         (38, serve_current_configuration), (41, evacuate_zone), (44, restore_zone)]
 
 
 def open_session_batch(index, second):
-    """Returns a step that opens new sessions, which then stand until the end."""
+    """Returns a step that opens new sessions, which last until the end of the demo."""
     def step(fleet):
         fleet.start_client(f"batch-{index}", "rate-watch", f"10.{100 + index}.0",
                            SESSIONS_PER_BATCH, CLIENT_SECONDS - second, 20 + index)
@@ -160,7 +160,7 @@
 def run_steps(fleet):
     began = time.monotonic()
     session_batches = [(second, open_session_batch(index, second))
-                for index, second in enumerate(BATCH_START_SECONDS)]
+                       for index, second in enumerate(BATCH_START_SECONDS)]
     for second, step in sorted(STEPS + session_batches, key=lambda item: item[0]):
         time.sleep(max(0.0, began + second - time.monotonic()))
         step(fleet)
@@ -171,11 +171,11 @@
     directory = os.path.join(root, "demo-out")
     shutil.rmtree(directory, ignore_errors=True)
     os.makedirs(directory)
-    print("starting 5 daemons in 3 zones, 15 + 4 back ends", flush=True)
+    print("starting 5 daemons in 3 zones, 15 + 4 backends", flush=True)
     fleet = build_fleet(root, directory)
     try:
         time.sleep(5)
-        print(f"starting {WATCH_SESSIONS} + {PACKET_SESSIONS} standing sessions", flush=True)
+        print(f"starting {WATCH_SESSIONS} + {PACKET_SESSIONS} long-lived sessions", flush=True)
         fleet.start_client("desk", "rate-watch", "10.81.0", WATCH_SESSIONS, CLIENT_SECONDS, 11)
         fleet.start_client("agency", "packet", "10.82.0", PACKET_SESSIONS, CLIENT_SECONDS, 12)
         run_steps(fleet)
--- a/scripts/demo_fleet.py
+++ b/scripts/demo_fleet.py
@@ -1,6 +1,6 @@
-"""Starts and stops the processes of a local fleet, and writes what its platform serves.
+"""Runs the processes of a local fleet and writes the files that its platform serves.
 
-Every process is started by this module, remembered by its process id and ended at the end.
+Only processes started by this module are ever signalled or stopped.
 """
 
 import json
@@ -16,7 +16,7 @@
 
 
 class Service:
-    """One service with its back ends, as the platform's configuration describes it."""
+    """A service with its backends, in the format of the platform's configuration."""
 
     def __init__(self, name, address, port, policy):
         self.name = name
@@ -40,7 +40,7 @@
 
 
 class Fleet:
-    """A platform, a fabric, daemons, back ends and callers as separate processes."""
+    """A platform, a fabric, daemons, backends and clients as separate processes."""
 
     def __init__(self, build, directory):
         self.build = build
@@ -74,7 +74,7 @@
     # Platform
 
     def publish(self, note):
-        """Publishes a new configuration version with the present services."""
+        """Publishes a new configuration version with the current services."""
         self.version += 1
         document = {
             "version": self.version,
@@ -118,8 +118,9 @@
 
     def add_daemon(self, name, zone):
         self.daemons[name] = {
-            "zone": zone, "control": self.network.allocate_port(), "data": self.network.allocate_port(),
-            "admin": self.network.allocate_port(), "listed": True, "receives_traffic": True}
+            "zone": zone, "control": self.network.allocate_port(),
+            "data": self.network.allocate_port(), "admin": self.network.allocate_port(),
+            "listed": True, "receives_traffic": True}
 
     def start_daemon(self, name):
         daemon = self.daemons[name]
@@ -151,7 +152,7 @@
     def signal(self, name, number):
         os.kill(self.processes[name].pid, number)
 
-    # Back ends
+    # Backends
 
     def start_backend(self, service, name, zone, *flags):
         port = self.network.allocate_port()
@@ -163,7 +164,7 @@
             f"--listen={self.host}:{port}", f"--fabric={self.host}:{self.fabric_port}",
             "--incarnation=1", f"--history={self.path('history-' + name + '.jsonl')}", *flags)
 
-    # Callers
+    # Clients
 
     def start_client(self, name, service, network, sessions, seconds, seed, *flags):
         target = self.services[service]
@@ -174,17 +175,17 @@
             f"--seconds={seconds}",
             f"--history={self.path('history-' + name + '.jsonl')}", f"--seed={seed}", *flags)
 
-    # End
+    # Shutdown
 
     def wait(self, name, timeout):
         return self.processes[name].wait(timeout=timeout)
 
     def failed(self):
-        """Returns the names of processes that have ended by themselves with an error."""
+        """Returns the names of processes that exited with an error status."""
         return [name for name, process in self.processes.items() if (process.poll() or 0) > 0]
 
     def stop_all(self):
-        """Ends every process that this fleet started and that still runs."""
+        """Stops every running process of this fleet."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -199,7 +200,7 @@
         self.network.close()
 
     def collect_versions(self):
-        """Turns the daemons' log lines into history events."""
+        """Converts the daemons' configuration log lines to history events."""
         pattern = re.compile(r"time=(\S+?)Z .*event=configuration_in_force version=(\d+)")
         out_path = self.path("history-daemons.jsonl")
         with open(out_path, "w", encoding="utf-8") as out:
--- a/scripts/fleet_log.py
+++ b/scripts/fleet_log.py
@@ -1,14 +1,14 @@
-"""Reads the log of a whole fleet, as a run of a day prints it with `--log all`."""
+"""Parser for the combined log of a fleet, as printed with `--log all`."""
 
 import re
 
-# A kill cuts a daemon's last line short, and the next daemon's follows on the same line.
+# A killed daemon's last line may be truncated, with another daemon's record on the same line.
 RECORD = re.compile(
     r"(-?\d+\.\d+) (\S+) time=(?:(?! time=).)*?event=(\S+)((?:(?!-?\d+\.\d+ \S+ time=).)*)")
 
 
 def read_records(path):
-    """Yields the second, the daemon, the event and the text of the fields of each record."""
+    """Yields (time in seconds, daemon, event, text of the fields) for each record."""
     with open(path, errors="replace") as log:
         for text in log:
             for record in RECORD.finditer(text):
--- a/scripts/kind_days.py
+++ b/scripts/kind_days.py
@@ -1,17 +1,17 @@
 #!/usr/bin/env python3
-"""Writes a day for each kind of trouble that a deployment knows, alone and twice a day.
+"""Generates one scenario for each fault kind of a deployment.
 
     scripts/kind_days.py SITE.toml FOLDER
 
-SITE is a deployment's file; each entry of its `troubles` becomes FOLDER/NN-KIND.toml, to be given
-to the bench as a day of one's own. The two moments are the same for all kinds, so that days compare.
+SITE is a deployment file; each entry of its `troubles` becomes FOLDER/NN-KIND.toml. Every scenario
+contains its fault twice, at the same times, so that the results are comparable.
 """
 
 import pathlib
 import sys
 import tomllib
 
-EVENT_TIMES_SECONDS = (5.0, 19.0)  # Seconds from the start of traffic: early and late in a day of 34 s.
+EVENT_TIMES_SECONDS = (5.0, 19.0)  # After the start of traffic; a scenario lasts 34 s.
 PLANNED_KINDS = {"add_nodes", "big_config", "config_change", "config_storm", "hup", "release",
            "roll_term", "scale_in", "scale_out"}
 SEED = 4900
@@ -26,7 +26,7 @@
 
 
 def toml_literal(value):
-    """Returns a value in TOML's form."""
+    """Returns a value as a TOML literal."""
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
--- a/scripts/loopback.py
+++ b/scripts/loopback.py
@@ -1,8 +1,7 @@
-"""Loopback addresses and ports that belong to one run alone.
+"""Loopback networks reserved for a single run.
 
-A port that was found free may be taken before its process starts: by another process, or by the same
-run, since the system may name it twice. So each run holds a network 127.N.0.0/16 for as long as it
-lives, and counts the ports of it itself, below those that the system hands out.
+Picking a free port and binding it later races with other processes. Each run therefore reserves a
+network 127.N.0.0/16 and allocates its ports itself, below the ephemeral range.
 """
 
 import errno
@@ -10,14 +9,14 @@
 import socket
 
 NETWORK_NUMBERS = range(20, 250)
-LOCK_HOST = "255.254"  # Bound by the run that holds the network.
+LOCK_HOST = "255.254"  # Bound for as long as the network is reserved.
 LOCK_PORT = 19999
-FIRST_PORT = 20000  # The system hands out ports from 32768 on.
+FIRST_PORT = 20000  # The ephemeral range of Linux starts at 32768.
 LAST_PORT = 32767
 
 
 class LoopbackNetwork:
-    """A network 127.N.0.0/16 that no other run holds. It is free again when `close` is called."""
+    """A network 127.N.0.0/16, reserved until `close` is called."""
 
     def __init__(self, numbers=NETWORK_NUMBERS):
         self.lock_socket, self.prefix = reserve_prefix(numbers)
@@ -28,10 +27,10 @@
         return f"{self.prefix}.{net}.{host}"
 
     def allocate_port(self):
-        """Returns a port that this run has not used yet, on any address of the network."""
+        """Returns a port not yet allocated by this run, for any address of the network."""
         port = next(self.ports)
         if port > LAST_PORT:
-            raise OSError(f"no port left in {self.prefix}.0.0/16")
+            raise OSError(f"all ports of {self.prefix}.0.0/16 are allocated")
         return port
 
     def close(self):
@@ -39,7 +38,7 @@
 
 
 def reserve_prefix(numbers):
-    """Returns the bound guard and the prefix of the first network of `numbers` that is free."""
+    """Returns the bound lock socket and the prefix of the first free network in `numbers`."""
     for number in numbers:
         prefix = f"127.{number}"
         lock_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
@@ -51,4 +50,4 @@
                 raise
             continue
         return lock_socket, prefix
-    raise OSError("every loopback network is held by another run")
+    raise OSError("every loopback network is reserved by another run")
--- a/scripts/smoke.py
+++ b/scripts/smoke.py
@@ -1,7 +1,7 @@
-"""One daemon, two back ends, a few sessions, as real processes: the path works end to end.
+"""End-to-end smoke test: one daemon, three backends and a few sessions, run as real processes.
 
-Nothing here depends on how long a step takes: the callers retransmit until they are done. Exit
-status is 0 where the history breaks no rule and requests were executed.
+Clients retransmit until they are done, so that the result doesn't depend on timing. The exit status
+is 0 if the recorded history has no violation and requests were executed.
 """
 
 import glob
@@ -30,7 +30,7 @@
         fleet = Fleet(build, directory)
         fleet.services["desk"] = Service("desk", "10.90.0.1", 5683, POLICY)
         fleet.services["narrow"] = Service("narrow", "10.90.0.2", 5683, LIMITED)
-        # Slow back ends, so that submissions queue and some are cancelled in time.
+        # Slow backends make submissions queue, so that some are cancelled before they run.
         fleet.start_backend("desk", "d-1", "z", "--service-ms=60", "--slots=1")
         fleet.start_backend("desk", "d-2", "z", "--service-ms=60", "--slots=1")
         fleet.start_backend("narrow", "n-1", "z")
@@ -60,13 +60,13 @@
         executions = int(report.stdout.split("executions")[1].split()[0])
         cancelled = int(report.stdout.split("refused as not run")[1].split()[0])
         checks = {
-            f"every process started and ran {failed}": not failed,
-            "history breaks no rule": report.returncode == 0,
+            f"no process failed {failed}": not failed,
+            "history has no violation": report.returncode == 0,
             "requests were executed": executions > 0,
             "submissions were cancelled before they ran": cancelled > 0,
-            "version 1 is in force": status["configuration_in_force"] == 1,
-            "explain names a back end": explanation["backend"] is not None,
-            "flows over the rate were refused and answered":
+            "version 1 is active": status["configuration_in_force"] == 1,
+            "explain names a backend": explanation["backend"] is not None,
+            "flows over the rate limit were refused with a response":
                 'refused_total{reason="new_flow_rate"} 0' not in metrics
                 and "cobaltgauge_refusals_sent_total 0" not in metrics,
         }
--- a/scripts/store_calls.py
+++ b/scripts/store_calls.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Says why daemons read the store, by the second.
+"""Counts the daemons' store reads by second and cause.
 
     scripts/store_calls.py LOG.txt
 
-LOG is what a run of a day printed with `--log all`. Reads are counted when they end: one that a
-kill interrupted is not seen. `daemons` says how many made the second's reads.
+LOG is the output of a scenario run with `--log all`. Only completed reads are counted. The column
+`daemons` is the number of daemons that read in that second.
 """
 
 import collections
@@ -14,16 +14,16 @@
 import fleet_log
 
 FIELD = re.compile(r"(\w+)=(\S+)")
-MIN_REPORTED_READS = 5  # Reads in a second that are worth a row.
+MIN_REPORTED_READS = 5  # Seconds with fewer reads are not printed.
 
 
 def read_log(path):
-    """Returns, by second, the reads by cause and outcome, and the daemons that made them."""
+    """Returns, by second, the read counts by cause and outcome, and the reading daemons."""
     reads = collections.defaultdict(collections.Counter)
     daemons = collections.defaultdict(set)
     for at, node, event, text in fleet_log.read_records(path):
         fields = dict(FIELD.findall(text))
-        if event != "store_read" or "outcome" not in fields:  # Cut short by a kill.
+        if event != "store_read" or "outcome" not in fields:  # Truncated record.
             continue
         second = int(at // 1)
         failed = "" if fields["outcome"] == "answered" else f" ({fields['outcome']})"
@@ -46,7 +46,8 @@
         total.update(reads[second])
         count = sum(reads[second].values())
         if count >= MIN_REPORTED_READS:
-            print(f"{second:6d}  {count:5d}  {len(daemons[second]):7d}  {format_counts(reads[second])}")
+            print(f"{second:6d}  {count:5d}  {len(daemons[second]):7d}  "
+                  f"{format_counts(reads[second])}")
     print(f"all: {sum(total.values())} reads: {format_counts(total)}")
 
 
--- a/scripts/store_proxy.py
+++ b/scripts/store_proxy.py
@@ -1,4 +1,4 @@
-"""Carries connections to the store of a test fleet, as badly as it is told to."""
+"""TCP proxy between a daemon and the store, with fault injection."""
 
 import socket
 import threading
@@ -6,12 +6,14 @@
 
 
 class Proxy:
-    """Listens on a port of its own and passes bytes on, both ways."""
+    """Relays connections to `upstream` in both directions.
+
+    Modes: up, delay, block_responses, block_requests, refuse."""
 
     def __init__(self, upstream):
         self.upstream = upstream
-        self.mode = "up"  # up, delay, deaf (nothing back), mute (nothing through), refuse
-        self.stalled = set()  # Pairs that carry nothing more, while new ones do.
+        self.mode = "up"
+        self.stalled = set()  # Connections that silently discard data.
         self.connections = []
         self.listener = socket.create_server((upstream[0], 0))
         self.address = f"{upstream[0]}:{self.listener.getsockname()[1]}"
@@ -26,8 +28,10 @@
             server = socket.create_connection(self.upstream)
             connection = (client, server)
             self.connections.append(connection)
-            for source, target, blocking_mode in ((client, server, "block_requests"), (server, client, "block_responses")):
-                threading.Thread(target=self.relay, args=(source, target, blocking_mode, connection),
+            for source, target, blocking_mode in ((client, server, "block_requests"),
+                                                  (server, client, "block_responses")):
+                threading.Thread(target=self.relay,
+                                 args=(source, target, blocking_mode, connection),
                                  daemon=True).start()
 
     def relay(self, source, target, blocking_mode, connection):
@@ -48,7 +52,7 @@
                 pass
 
     def stall(self):
-        """Lets open connections go silent for good, without a reset."""
+        """Discards all further data on open connections, without closing them."""
         self.stalled |= set(self.connections)
 
     def reset(self):
--- a/scripts/throughput.py
+++ b/scripts/throughput.py
@@ -1,6 +1,6 @@
-"""Packets per second through one daemon, against a bare UDP relay of the same packets.
+"""Compares the packet throughput of a daemon with that of a bare UDP relay.
 
-The two are measured in turn, several times, in one run; the ratio is what counts.
+Both are measured alternately in the same run; the result is the ratio of the medians.
 """
 
 import os
@@ -35,18 +35,18 @@
     backend_port = fleet.network.allocate_port()
     relay_port = fleet.network.allocate_port()
     service = Service("bench", SERVICE_ADDRESS, SERVICE_PORT, "function place() return 1 end")
-    service.backends["b"] = {"name": "b", "address": fleet.host, "port": backend_port, "incarnation": 1,
-                             "zone": "z", "state": "active", "capacity": 1}
+    service.backends["b"] = {"name": "b", "address": fleet.host, "port": backend_port,
+                             "incarnation": 1, "zone": "z", "state": "active", "capacity": 1}
     fleet.services["bench"] = service
     fleet.add_daemon("lb-1", "z")
     fleet.write_machines()
-    fleet.publish("one service, one back end")
+    fleet.publish("one service, one backend")
     fleet.start_platform()
     fleet.start_daemon("lb-1")
     fleet.spawn("relay", "cobaltgauge-standin", "relay", f"--listen={fleet.host}:{relay_port}",
                 f"--to={fleet.host}:{backend_port}")
     try:
-        time.sleep(6)  # The daemon waits for peers before it serves alone.
+        time.sleep(6)  # A daemon waits for peers before it serves on its own.
         relay = []
         daemon = []
         for _ in range(ROUNDS):
--- a/scripts/token_fleet.py
+++ b/scripts/token_fleet.py
@@ -1,8 +1,8 @@
-"""Stand-ins for what surrounds a fleet that steers by tokens, and the fleet's processes.
+"""Test doubles and processes for a fleet that runs in token steering mode.
 
-A configuration store that can be watched, back ends that register themselves, and callers, all on
-loopback addresses. They speak the packets and the store's HTTP as docs/design/004 describes them,
-as far as a test needs.
+Provides a configuration store with watches, self-registering backends and clients, all on
+loopback addresses. They implement the subset of the packet format and of the store's HTTP API
+(docs/design/004) that the tests need.
 """
 
 import base64
@@ -25,7 +25,7 @@
 HEADER = struct.Struct("<IBIHIIIHHI")  # sum, flags, echo, len, seq, ack, src, dport, sport, dst
 SLOW_REPLY_DELAY_SECONDS = 0.05
 BACKEND_PORT = 8080
-WAIT_TIMEOUT_SECONDS = 20.0  # Longest wait for something that must happen, in seconds.
+WAIT_TIMEOUT_SECONDS = 20.0
 
 
 def address_to_int(address):
@@ -42,19 +42,21 @@
 
 
 class Store:
-    """Items with revisions, a history and faults. `mode`: up, busy (503), throttled (429), unresponsive,
-    closing (no answer, and the connection ends).
+    """A key-value store with revisions, a change history and fault modes.
 
-    It may come back from an older copy of itself: what was written since is gone, its revisions are
-    given out again, and a number that rises with each return stands in every answer."""
+    Modes: up, busy (503), throttled (429), unresponsive (no response), closing (closes the
+    connection without a response).
+
+    The store can be restored from an older snapshot: later writes are lost and their revisions are
+    reused. Each restore increments the era, which every response carries in a header."""
 
     def __init__(self, address):
         self.lock = threading.Condition()
         self.items, self.history, self.revision, self.history_from = {}, [], 0, 0
         self.era = 1
-        self.last_written = {}  # What was written last under each key; None for a removal.
+        self.last_written = {}  # Latest value by key; None if removed.
         self.mode = "up"
-        self.blocked_clients = set()  # Addresses that get no service.
+        self.blocked_clients = set()  # Addresses that receive no response.
         store = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
@@ -80,7 +82,7 @@
             daemon_threads = True
 
             def handle_error(self, *_):
-                pass  # A caller that went away is no matter.
+                pass  # Clients may disconnect at any time.
 
         self.server = Server((address, 0), Handler)
         self.address = f"{address}:{self.server.server_address[1]}"
@@ -121,7 +123,7 @@
             self.lock.notify_all()
 
     def rewrite_lost_items(self):
-        """What a copy lacks is written again by whoever wrote it, and removed what should be gone."""
+        """Reapplies the writes and removals that a restored snapshot lacks."""
         with self.lock:
             last_written = dict(self.last_written)
         for key, value in last_written.items():
@@ -143,8 +145,8 @@
         query = dict(urllib.parse.parse_qsl(parts.query, keep_blank_values=True))
         with self.lock:
             if self.mode == "unresponsive" or client in self.blocked_clients:
-                self.lock.wait_for(lambda: self.mode != "unresponsive" and client not in self.blocked_clients,
-                                   timeout=60)
+                self.lock.wait_for(lambda: self.mode != "unresponsive"
+                                   and client not in self.blocked_clients, timeout=60)
                 return None, None
             if self.mode == "closing":
                 return None, None
@@ -179,14 +181,14 @@
 
 
 class Backend:
-    """One back end: answers openings and data, and notes what is wrong about a packet."""
+    """A backend that accepts flows, acknowledges data and records misrouted packets."""
 
     def __init__(self, fleet, address, service, zone="a", warm_up_ms=0):
         self.fleet, self.address, self.service = fleet, address, service
         self.zone, self.warm_up_ms = zone, warm_up_ms
-        self.unresponsive = False  # Acknowledges data and never answers it.
-        self.overloaded = False  # Resets openings.
-        self.slow = False  # Answers each packet SLOW_SECONDS later.
+        self.unresponsive = False  # Ignores data packets.
+        self.overloaded = False  # Rejects connection attempts with a reset.
+        self.slow = False  # Delays each response by SLOW_REPLY_DELAY_SECONDS.
         fleet.next_id += 1
         self.id = fleet.next_id
         self.key = f"servers/i-{self.id:x}"
@@ -211,7 +213,7 @@
         self.register("draining")
 
     def crash(self):
-        """Ends without a word; the machine answers nothing more."""
+        """Closes the sockets without announcing a shutdown."""
         self.alive = False
         self.socket.close()
         self.listener.close()
@@ -229,7 +231,7 @@
         _, flags, echo, _, sequence, _, source, port, source_port, destination = \
             HEADER.unpack(packet[:HEADER.size])
         if target != self.id:
-            return  # For another start of a back end at this address: ignored, as the real ones do.
+            return  # Addressed to another incarnation of a backend at this address.
         flow = (source, source_port, destination, port)
         if self.slow:
             time.sleep(SLOW_REPLY_DELAY_SECONDS)
@@ -251,7 +253,7 @@
     def reply(self, flow, echo, flags, sequence, acknowledged):
         source, source_port, destination, port = flow
         header = HEADER.pack(1, flags, echo, 0, sequence, acknowledged & 0xffffffff, destination,
-                         source_port, port, source)
+                             source_port, port, source)
         try:
             self.socket.sendto(header, (socket.inet_ntoa(struct.pack("!I", source)),
                                       self.fleet.data_port))
@@ -260,14 +262,14 @@
 
 
 class Client:
-    """Opens flows and sends data on them, through whichever daemon it is told to."""
+    """Opens flows and sends data on them through given daemons."""
 
     def __init__(self, fleet, address):
         self.fleet, self.address = fleet, address
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind((address, fleet.data_port))
         self.next_port = 20000
-        self.received = {}  # By own port: the last (flags, echo, seq, ack, by the system).
+        self.received = {}  # By local port: latest (flags, echo, seq, ack, sent by a daemon).
         self.lock = threading.Condition()
         threading.Thread(target=self.run, daemon=True).start()
 
@@ -282,15 +284,15 @@
 
     def send(self, daemon, port, flags, echo, sequence, acknowledged, to, data=b""):
         address, to_port = to
-        header = HEADER.pack(1, flags, echo, len(data), sequence, acknowledged, address_to_int(self.address),
-                         to_port, port, address_to_int(address))
+        header = HEADER.pack(1, flags, echo, len(data), sequence, acknowledged,
+                             address_to_int(self.address), to_port, port, address_to_int(address))
         self.socket.sendto(header + data, (daemon.address, self.fleet.data_port))
 
     def exchange(self, daemons, port, flags, echo, sequence, acknowledged, to, data=b"",
                  waits=(0.2, 0.4, 0.8)):
-        """Sends a packet, again after each wait, each time by the next daemon.
+        """Sends a packet, retransmitting it after each wait through the next daemon.
 
-        Returns the answer, or None."""
+        Returns the response, or None on timeout."""
         with self.lock:
             self.received.pop(port, None)
         for attempt, wait in enumerate(waits):
@@ -303,7 +305,7 @@
         return None
 
     def open(self, daemons, to):
-        """Returns a flow (port, echo, the back end's sequence number), or None where refused."""
+        """Opens a flow. Returns its state, or None if it was refused or timed out."""
         self.next_port += 1
         port = self.next_port
         response = self.exchange(daemons, port, SYN, 0, 100, 0, to)
@@ -313,10 +315,11 @@
         return flow
 
     def send_data(self, daemons, flow, waits=(0.2, 0.4, 0.8)):
-        """Sends ten bytes on a flow. Returns ok, reset (by the system), backend_reset, or
-        timeout."""
-        response = self.exchange(daemons, flow["port"], ACK, flow["echo"], flow["seq"], flow["ack"],
-                               flow["to"], b"0123456789", waits)
+        """Sends ten bytes on a flow.
+
+        Returns "ok", "reset" (by the load balancer), "backend_reset" or "timeout"."""
+        response = self.exchange(daemons, flow["port"], ACK, flow["echo"], flow["seq"],
+                                 flow["ack"], flow["to"], b"0123456789", waits)
         if response is None:
             return "timeout"
         if response[0] & RST:
@@ -326,7 +329,7 @@
 
 
 class Daemon:
-    """One process of cobaltgauged."""
+    """A cobaltgauged process with its settings and log files."""
 
     def __init__(self, fleet, name, address, seeds):
         self.fleet, self.name, self.address, self.seeds = fleet, name, address, seeds
@@ -396,6 +399,8 @@
 
 
 class TokenFleet:
+    """A store, daemons and backends on a loopback network reserved for this run."""
+
     def __init__(self, build, directory, policy):
         self.build, self.directory, self.policy = build, directory, policy
         self.network = LoopbackNetwork()
@@ -405,17 +410,18 @@
         self.next_id = 0x1000
         self.daemons, self.backends = [], []
         self.version = 0
-        self.services = []  # As the configuration describes them.
+        self.services = []  # In the format of the store's configuration item.
 
     def host_address(self, net, host):
-        """Returns an address of this run."""
+        """Returns an address of the reserved loopback network."""
         return self.network.host_address(net, host)
 
     def publish(self, routes):
-        """`routes`: (address, port, service) each."""
+        """Publishes a new configuration version; `routes` holds (address, port, service) tuples."""
         self.version += 1
         self.store.put("op/config", {
-            "version": self.version, "services": self.services, "limits": {"idle-timeout-ms": 15000},
+            "version": self.version, "services": self.services,
+            "limits": {"idle-timeout-ms": 15000},
             "routes": [{"name": f"r-{port}", "host": address, "path-prefix": f"/{port}/",
                         "service": service} for address, port, service in routes]})
 
