--- a/scripts/soak.py
+++ b/scripts/soak.py
@@ -1,12 +1,13 @@
-"""Fault soak: daemons that steer by tokens as real processes, under random faults from outside.
+"""Soak test: daemons in token steering mode as real processes, under random external faults.
 
 usage: scripts/soak [--minutes N] [--seed S] [--build DIR]
 
-Processes are stopped, paused, killed and started again by signal; each daemon reaches the store
-through a proxy on loopback that delays, resets, cuts one way or silences; the store is busy,
-throttling, silent, forgets its history or comes back from an older copy; back ends come, leave,
-crash and re-use addresses; routes come and go. Promises are checked from what callers and back ends see. Every 15 s all faults heal and
-the fleet must be whole again. Ends only what it started. Exit status 0 where every promise held.
+Daemons are stopped, suspended, killed and restarted. Each daemon connects to the store through a
+proxy that delays, resets, stalls or blocks the connection in one direction. The store is busy,
+throttling or unresponsive, loses its history or is restored from an older snapshot. Backends start,
+drain, crash and become unresponsive, overloaded or slow; zones and routes change. The guarantees
+are checked from the view of clients and backends. After each round of faults, all faults end and
+the fleet must recover. The exit status is 0 if no guarantee was violated.
 """
 
 import argparse
@@ -25,16 +26,16 @@
 EXTRA_ROUTES = [("10.90.0.2", port) for port in (443, 8443, 9443)]
 ROUND_SECONDS = 10.0
 RECOVERY_SECONDS = 5.0
-MAX_SNAPSHOT_AGE_SECONDS = 6.0    # The store comes back from a copy that is at most so old.
-MAX_STORE_OUTAGE_SECONDS = 1.5   # It is away for at most so long before.
-MAX_REWRITE_DELAY_SECONDS = 1.0  # What it lost is written again within this.
-DRAINING_LIMIT_SECONDS = 3.0  # A back end that leaves gets no new flow after this.
-EVACUATION_LIMIT_SECONDS = 5.0  # Back ends of a zone that is taken out get no new flow after this.
-WARM_UP_FLOWS_PER_SECOND = 4  # Openings a second that a cold back end bears, from all daemons.
-MAX_WARM_UP_FLOWS_PER_SECOND = WARM_UP_FLOWS_PER_SECOND * 1.5 + 5  # The most that it may get in any second.
+MAX_SNAPSHOT_AGE_SECONDS = 6.0  # Of the snapshots that the store is restored from.
+MAX_STORE_OUTAGE_SECONDS = 1.5  # Before a restore.
+MAX_REWRITE_DELAY_SECONDS = 1.0  # From a restore until the lost writes are reapplied.
+DRAINING_LIMIT_SECONDS = 3.0  # A draining backend receives no new flow after this.
+EVACUATION_LIMIT_SECONDS = 5.0  # An evacuated zone receives no new flow after this.
+WARM_UP_FLOWS_PER_SECOND = 4  # Configured limit per backend, across all daemons.
+MAX_WARM_UP_FLOWS_PER_SECOND = WARM_UP_FLOWS_PER_SECOND * 1.5 + 5  # In any one second.
 WARM_UP_MS = 2000
-MIN_BACKENDS_IN_ZONE = 3  # Back ends that stay in zone "a".
-FAULT_FREE_SECONDS = 4.0       # A daemon without faults for this long must keep every bound.
+MIN_BACKENDS_IN_ZONE = 3  # Backends kept active in zone "a".
+FAULT_FREE_SECONDS = 4.0  # The time limits apply after this long without faults.
 MAX_FLOWS = 24
 
 
@@ -42,11 +43,11 @@
     def __init__(self, fleet, seed):
         self.fleet, self.random = fleet, random.Random(seed)
         self.violations, self.event_counts = [], {}
-        self.fault_ended_at = {}  # By daemon: when a fault on it ended, or None while one lasts.
+        self.fault_ended_at = {}  # By daemon; None during a fault.
         self.store_fault_ended_at = time.monotonic()
-        self.snapshots = []  # Of the store, with their times, oldest first.
-        self.draining_since = {}     # By back end: when it announced its end.
-        self.evacuated_at = None  # When zone "b" was taken out.
+        self.snapshots = []  # (time, store snapshot), oldest first.
+        self.draining_since = {}  # By backend.
+        self.evacuated_at = None  # Time of the evacuation of zone "b"; None if it is in use.
         self.extra_routes = set()
         self.next_host = 10
         self.proxies = {}
@@ -57,7 +58,7 @@
 
     def report_violation(self, description):
         self.violations.append(description)
-        print(f"{time.monotonic() - self.started_at:8.2f} BROKEN {description}")
+        print(f"{time.monotonic() - self.started_at:8.2f} VIOLATION {description}")
 
     def start(self):
         self.started_at = time.monotonic()
@@ -71,19 +72,21 @@
         for number in range(2, 5):
             proxy = Proxy((host, int(port)))
             store, fleet.store.address = fleet.store.address, proxy.address
-            daemon = fleet.start_daemon(fleet.host_address(0, number), [fleet.host_address(0, 2), fleet.host_address(0, 3)])
+            daemon = fleet.start_daemon(fleet.host_address(0, number),
+                                        [fleet.host_address(0, 2), fleet.host_address(0, 3)])
             fleet.store.address = store
             self.proxies[daemon] = proxy
             self.fault_ended_at[daemon] = time.monotonic()
         for daemon in fleet.daemons:
-            wait_until(daemon.is_ready, "ready at start")
+            wait_until(daemon.is_ready, "the daemon is ready after its start")
         self.client = Client(fleet, fleet.host_address(1, 1))
         self.flows = []
 
     def publish(self):
-        self.fleet.publish([(*ROUTE, "web")] + [(*route, "web") for route in sorted(self.extra_routes)])
+        self.fleet.publish([(*ROUTE, "web")]
+                           + [(*route, "web") for route in sorted(self.extra_routes)])
 
-    # Faults. Each returns what heals it.
+    # Daemon faults. Each method returns a function that ends the fault.
 
     def pause(self, daemon):
         daemon.send_signal(signal.SIGSTOP)
@@ -98,14 +101,16 @@
 
         def restart():
             if daemon.process.wait(10) != 0:
-                self.report_violation(f"{daemon.name} ended with {daemon.process.returncode}")
+                self.report_violation(f"{daemon.name} exited with status "
+                                      f"{daemon.process.returncode}")
             daemon.start()
 
         return restart
 
     def disturb_store_connection(self, daemon):
         proxy = self.proxies[daemon]
-        mode = self.random.choice(["delay", "block_responses", "block_requests", "refuse", "reset", "stall"])
+        mode = self.random.choice(["delay", "block_responses", "block_requests", "refuse",
+                                   "reset", "stall"])
         if mode in ("reset", "stall"):
             proxy.reset() if mode == "reset" else proxy.stall()
             return lambda: None
@@ -117,15 +122,18 @@
         return end_fault
 
     def daemon_fault(self):
-        healthy = [daemon for daemon in self.fleet.daemons if self.fault_ended_at[daemon] is not None]
+        healthy = [daemon for daemon in self.fleet.daemons
+                   if self.fault_ended_at[daemon] is not None]
         if len(healthy) < 2:
             return
         daemon = self.random.choice(healthy)
-        fault = self.random.choice([self.pause, self.kill, self.stop, self.disturb_store_connection, self.disturb_store_connection])
+        fault = self.random.choice([self.pause, self.kill, self.stop, self.disturb_store_connection,
+                                    self.disturb_store_connection])
         self.log_event(f"{fault.__name__} {daemon.name}")
         self.fault_ended_at[daemon] = None
         end_fault = fault(daemon)
-        threading.Timer(self.random.uniform(0.2, 3.0), self.end_daemon_fault, (daemon, end_fault)).start()
+        threading.Timer(self.random.uniform(0.2, 3.0), self.end_daemon_fault,
+                        (daemon, end_fault)).start()
 
     def end_daemon_fault(self, daemon, end_fault):
         end_fault()
@@ -135,8 +143,9 @@
         store = self.fleet.store
         if self.store_fault_ended_at is None:
             return
-        mode = self.random.choice(["busy", "throttled", "unresponsive", "compact", "return", "return"])
-        if mode == "return":
+        mode = self.random.choice(["busy", "throttled", "unresponsive", "compact",
+                                   "restore", "restore"])
+        if mode == "restore":
             self.restore_store()
             return
         self.log_event(f"store {mode}")
@@ -155,15 +164,16 @@
     def take_snapshot(self):
         now = time.monotonic()
         self.snapshots.append((now, self.fleet.store.snapshot()))
-        self.snapshots = [(at, snapshot) for at, snapshot in self.snapshots if now - at < MAX_SNAPSHOT_AGE_SECONDS]
+        self.snapshots = [(at, snapshot) for at, snapshot in self.snapshots
+                          if now - at < MAX_SNAPSHOT_AGE_SECONDS]
 
     def restore_store(self):
-        """The store is away for a moment, comes back from a copy, and is told again what it lost."""
+        """Restores the store from a snapshot after a short outage and reapplies the lost writes."""
         store = self.fleet.store
         at, snapshot = self.random.choice(self.snapshots)
         rewrite_delay = self.random.uniform(0, MAX_REWRITE_DELAY_SECONDS)
-        self.log_event(f"store comes back from {time.monotonic() - at:.1f} s ago, "
-                  f"revision {snapshot[2]} after {store.revision}")
+        self.log_event(f"store restored from a snapshot {time.monotonic() - at:.1f} s old, "
+                       f"revision {snapshot[2]} after {store.revision}")
         self.store_fault_ended_at = None
         store.set_mode("closing")
 
@@ -184,15 +194,16 @@
         kind = self.random.choice(["add", "drain", "crash", "unresponsive", "overloaded", "slow"])
         if kind == "add" or len(active) < 4:
             self.next_host += 1
-            self.log_event("add back end")
+            self.log_event("add backend")
             zone = "ab"[self.next_host % 2]
-            self.fleet.start_backend(self.fleet.host_address(2, self.next_host), "web", zone, WARM_UP_MS)
+            self.fleet.start_backend(self.fleet.host_address(2, self.next_host), "web", zone,
+                                     WARM_UP_MS)
             return
         backend = self.random.choice(active)
         ends = kind in ("drain", "crash")
         if ends and backend.zone == "a" and self.count_in_zone("a") < MIN_BACKENDS_IN_ZONE:
-            return  # Zone "b" may be out or be taken out: something must be left to serve.
-        self.log_event(f"{kind} back end {backend.id:x}")
+            return  # Zone "b" may be evacuated, so that zone "a" must keep backends.
+        self.log_event(f"{kind} backend {backend.id:x}")
         if not ends:
             self.impair_temporarily([backend], kind)
         elif kind == "drain":
@@ -203,27 +214,29 @@
             threading.Timer(3.6, self.fleet.store.remove, (backend.key,)).start()
 
     def impair_temporarily(self, backends, attribute):
-        """Lets back ends be `unresponsive`, `overloaded` or `slow`, one of their attributes."""
+        """Sets an attribute (unresponsive, overloaded, slow) of backends for up to 3 s."""
         for backend in backends:
             setattr(backend, attribute, True)
-            threading.Timer(self.random.uniform(0.5, 3.0), setattr, (backend, attribute, False)).start()
+            threading.Timer(self.random.uniform(0.5, 3.0), setattr,
+                            (backend, attribute, False)).start()
 
     def overload(self):
-        """Everything is full at once, while callers go on."""
-        self.log_event("all back ends are full")
+        """Overloads all backends at once."""
+        self.log_event("all backends are overloaded")
         self.impair_temporarily(self.active_backends(), "overloaded")
 
     def zone_crash(self):
-        """All back ends of zone "b" die at one moment and come back cold."""
+        """Crashes all backends of zone "b" at once and starts as many that are warming up."""
         lost = [backend for backend in self.active_backends() if backend.zone == "b"]
         if self.count_in_zone("a") < MIN_BACKENDS_IN_ZONE or not lost:
             return
-        self.log_event(f"crash zone b, {len(lost)} back ends")
+        self.log_event(f"crash zone b, {len(lost)} backends")
         for backend in lost:
             backend.crash()
             threading.Timer(3.6, self.fleet.store.remove, (backend.key,)).start()
             self.next_host += 1
-            self.fleet.start_backend(self.fleet.host_address(2, self.next_host), "web", "b", WARM_UP_MS)
+            self.fleet.start_backend(self.fleet.host_address(2, self.next_host), "web", "b",
+                                     WARM_UP_MS)
 
     def active_backends(self):
         return [b for b in self.fleet.backends if b.alive and b not in self.draining_since]
@@ -233,11 +246,11 @@
 
     def zone_change(self):
         if self.evacuated_at is not None:
-            self.log_event("zone b is taken back")
+            self.log_event("zone b is restored")
             self.evacuated_at = None
             self.fleet.restore_zone("b")
         elif self.count_in_zone("a") >= MIN_BACKENDS_IN_ZONE:
-            self.log_event("zone b is taken out")
+            self.log_event("zone b is evacuated")
             self.fleet.evacuate("b")
             self.evacuated_at = time.monotonic()
 
@@ -247,7 +260,7 @@
         self.log_event(f"routes {sorted(port for _, port in self.extra_routes)}")
         self.publish()
 
-    # Load and promises.
+    # Load and checks
 
     def target_daemons(self):
         ready = [daemon for daemon in self.fleet.daemons if self.fault_ended_at[daemon] is not None]
@@ -273,32 +286,37 @@
         backend = self.backend_of(flow)
         old = time.monotonic() - flow["opened"] > 50
         if result == "reset" and backend is not None and backend.alive and not old:
-            self.report_violation(f"a flow of living back end {backend.id:x} was reset, port {flow['port']}")
+            self.report_violation(f"a flow of running backend {backend.id:x} was reset, "
+                                  f"port {flow['port']}")
         if result != "ok" and (backend is None or not backend.alive) or result == "reset" or old:
             self.flows.remove(flow)
 
     def check_misrouted_packets(self):
         for backend in self.fleet.backends:
             for flow in backend.misrouted_flows:
-                self.report_violation(f"back end {backend.id:x} got a packet of flow {flow}, not its own")
+                self.report_violation(f"backend {backend.id:x} received a packet of flow {flow}, "
+                                      "which it does not hold")
             backend.misrouted_flows.clear()
 
     def check_draining(self):
         for backend, since in self.draining_since.items():
             for opened, _ in backend.openings:
                 if opened > since + DRAINING_LIMIT_SECONDS and self.fault_free_since(since):
-                    self.report_violation(f"leaving back end {backend.id:x} got a flow {opened - since:.1f} s later")
-            backend.openings = [o for o in backend.openings if o[0] <= since + DRAINING_LIMIT_SECONDS]
+                    self.report_violation(f"draining backend {backend.id:x} received a flow "
+                                          f"after {opened - since:.1f} s")
+            backend.openings = [o for o in backend.openings
+                                if o[0] <= since + DRAINING_LIMIT_SECONDS]
 
     def check_evacuated(self):
         since = self.evacuated_at
         if since is None or not self.fault_free_since(since):
             return
         for backend in self.fleet.backends:
-            late = [at - since for at, _ in backend.openings if at > since + EVACUATION_LIMIT_SECONDS]
+            late = [at - since for at, _ in backend.openings
+                    if at > since + EVACUATION_LIMIT_SECONDS]
             if backend.zone == "b" and late:
-                self.report_violation(f"back end {backend.id:x} of the zone that is out got a flow "
-                          f"{late[0]:.1f} s later")
+                self.report_violation(f"backend {backend.id:x} of an evacuated zone received "
+                                      f"a flow after {late[0]:.1f} s")
 
     def check_warm_up(self):
         for backend in self.fleet.backends:
@@ -307,7 +325,8 @@
             for first in times:
                 count = sum(first <= at < first + 1 for at in times)
                 if count > MAX_WARM_UP_FLOWS_PER_SECOND:
-                    self.report_violation(f"cold back end {backend.id:x} got {count} flows in a second")
+                    self.report_violation(f"backend {backend.id:x} received {count} flows "
+                                          "in one second while warming up")
 
     def fault_free_since(self, instant):
         daemons = [self.fault_ended_at[daemon] for daemon in self.fleet.daemons]
@@ -315,29 +334,32 @@
         return all(end is not None and end < instant - FAULT_FREE_SECONDS for end in quiet)
 
     def check_recovery(self):
-        """After every fault has healed: each daemon serves, with the newest view."""
+        """Checks that each daemon serves with the current view after all faults have ended."""
         wait_until(lambda: self.store_fault_ended_at is not None
-                   and all(t is not None for t in self.fault_ended_at.values()), "faults heal")
+                   and all(t is not None for t in self.fault_ended_at.values()),
+                   "all faults have ended")
         time.sleep(RECOVERY_SECONDS)
         version = self.fleet.version
         for daemon in self.fleet.daemons:
             if not daemon.is_ready():
-                self.report_violation(f"{daemon.name} is not ready though all has healed")
+                self.report_violation(f"{daemon.name} is not ready after the recovery")
             if f"cobaltgauge_routes_version {version}\n" not in daemon.metrics():
-                self.report_violation(f"{daemon.name} does not have version {version} in force")
+                self.report_violation(f"{daemon.name} does not have version {version} active")
             if self.client.open([daemon], ROUTE) is None:
-                self.report_violation(f"{daemon.name} does not place an opening")
+                self.report_violation(f"{daemon.name} does not place a connection attempt")
             for route in EXTRA_ROUTES:
                 served = self.client.open([daemon], route) is not None
                 if served != (route in self.extra_routes):
-                    self.report_violation(f"{daemon.name} {'serves' if served else 'refuses'} {route}")
+                    self.report_violation(f"{daemon.name} "
+                                          f"{'serves' if served else 'refuses'} {route}")
         for flow in list(self.flows):
             backend = self.backend_of(flow)
             young = time.monotonic() - flow["opened"] < 45
             if backend is not None and backend.alive and young:
                 result = self.client.send_data(self.target_daemons(), flow, (0.2, 0.4, 0.8, 1.6))
                 if result != "ok":
-                    self.report_violation(f"a flow of living back end {backend.id:x} is {result}")
+                    self.report_violation(f"a request to running backend {backend.id:x} "
+                                          f"failed: {result}")
         self.remove_drained_backends()
 
     def remove_drained_backends(self):
@@ -390,7 +412,7 @@
     finally:
         fleet.stop()
     print(f"seed {options.seed}: {sum(soak.event_counts.values())} faults and changes, "
-          f"{'all promises held' if not soak.violations else 'BROKEN, logs in ' + directory}")
+          f"{'no violation' if not soak.violations else 'VIOLATION, logs in ' + directory}")
     return 1 if soak.violations else 0
 
 
