--- a/tests/fuzz/fuzz_coap.cc
+++ b/tests/fuzz/fuzz_coap.cc
@@ -1,10 +1,10 @@
 /// @file
-/// libFuzzer target: CoAP messages; what is decoded must survive another round.
+/// libFuzzer target: CoAP decoder. A decoded message must be unchanged after encoding and decoding.
 #include <cstdlib>
 
 #include "net/coap_message.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace cobaltgauge::net;
   const auto message = decodeCoap({data, size});
--- a/tests/fuzz/fuzz_configuration.cc
+++ b/tests/fuzz/fuzz_configuration.cc
@@ -1,10 +1,10 @@
 /// @file
-/// libFuzzer target: the platform's configuration, policies included.
+/// libFuzzer target: parser and compiler of the platform's configuration, including policies.
 #include <cstdlib>
 
 #include "configuration/configuration_json.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace cobaltgauge::configuration;
   ConfigurationParser parser;
@@ -15,7 +15,7 @@
   JsonConfigurationCompiler compiler;
   const bool accepted = compiler.compile(*document).has_value();
   if (!accepted && compiler.lastReason().empty()) {
-    std::abort();  // Every refusal says why.
+    std::abort();  // A rejection must have a reason.
   }
   return 0;
 }
--- a/tests/fuzz/fuzz_geneve.cc
+++ b/tests/fuzz/fuzz_geneve.cc
@@ -1,10 +1,10 @@
 /// @file
-/// libFuzzer target: a datagram at the data socket, as far as the core's input.
+/// libFuzzer target: datagrams of the data socket, from the Geneve decoder to refusals.
 #include "net/geneve.h"
 #include "net/inner_packet.h"
 #include "net/refusal.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace cobaltgauge;
   net::GeneveDecoder decoder;
--- a/tests/fuzz/fuzz_packet_head.cc
+++ b/tests/fuzz/fuzz_packet_head.cc
@@ -1,8 +1,8 @@
 /// @file
-/// libFuzzer target: a datagram of the platform, as far as its forward and its refusal.
+/// libFuzzer target: the platform's packet header, including forwarding and refusals.
 #include "platform/packet_header.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace cobaltgauge;
   platform::PacketHeader format;
--- a/tests/fuzz/fuzz_peer.cc
+++ b/tests/fuzz/fuzz_peer.cc
@@ -1,5 +1,5 @@
 /// @file
-/// libFuzzer target: a peer message whose authenticator is right, and what the core does with it.
+/// libFuzzer target: peer messages after authentication, and their processing in the core.
 #include "core/balancer.h"
 #include "core/constants.h"
 #include "core/load/fleet_load.h"
@@ -14,7 +14,7 @@
 
 using namespace cobaltgauge;
 
-/// A daemon that steers by tokens, with a view that is complete up to revision 5.
+/// Core of a daemon in token steering mode, with a complete view at revision 5.
 struct TokenNode {
   sim::SeededRandom random{1};
   core::EqualWeights weights;
@@ -86,7 +86,7 @@
   }
 };
 
-/// Lets a daemon that steers by tokens take a message of a peer.
+/// Delivers a peer message to a daemon in token steering mode.
 template <typename Message>
 void deliverToTokenNode(const Message& message, core::Time now) {
   TokenNode node;
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   static const core::MemberIdentity kPeer = tests::makeIdentity("peer", 2);
   net::PeerCodec codec("fuzz", "key of the fuzzers", kPeer.id);
--- a/tests/fuzz/fuzz_policy.cc
+++ b/tests/fuzz/fuzz_policy.cc
@@ -1,10 +1,10 @@
 /// @file
-/// libFuzzer target: policies; whatever the text, weights are in range or there is a reason.
+/// libFuzzer target: policy evaluator. The weights must be in range, or a reason must be set.
 #include <cstdlib>
 
 #include "policy/policy_evaluator.h"
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace cobaltgauge;
   policy::PolicyEvaluator evaluator;
--- a/tests/fuzz/fuzz_store_items.cc
+++ b/tests/fuzz/fuzz_store_items.cc
@@ -1,6 +1,6 @@
 /// @file
-/// libFuzzer target: an answer of the platform's store, what the view does with it, and what a
-/// reader does with it as any answer of a store that comes back from older copies.
+/// libFuzzer target: responses of the platform's store, applied to a view and to a store
+/// reader while the store era changes as in a restore.
 #include "core/backend_registry.h"
 #include "core/store_reader.h"
 #include "core/view_updater.h"
@@ -25,7 +25,7 @@
       {net::HttpFailure::kNone, kOk, {{"store-era", std::to_string(era)}}, body});
 }
 
-/// The answer comes again and again, of eras that the bytes of the answer choose.
+/// Delivers the response repeatedly, with store eras taken from its bytes.
 void feedReader(const std::string& body) {
   View view;
   sim::SeededRandom random(1);
@@ -41,7 +41,7 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's.
+// NOLINTNEXTLINE(readability-identifier-naming): required by libFuzzer.
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const std::string body(reinterpret_cast<const char*>(data), size);
   const core::StoreReply reply = parse(body, 0);
--- a/tests/scripts/account_test.py
+++ b/tests/scripts/account_test.py
@@ -1,4 +1,4 @@
-"""Tests of how the account of a day reads a fleet's log."""
+"""Tests of the log analysis in scripts/account.py."""
 
 import pathlib
 import sys
@@ -7,7 +7,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).resolve().parents[2] / "scripts"))
 
-import account  # noqa: E402 (found by the line above)
+import account  # noqa: E402
 
 
 def read(text):
--- a/tests/scripts/loopback_test.py
+++ b/tests/scripts/loopback_test.py
@@ -1,7 +1,6 @@
-"""Addresses and ports of a run of real processes: nobody else gets them.
+"""Tests that runs of real processes don't share addresses or ports.
 
-The smoke test failed in CI when a back end and the fabric were given one port: the fabric could not
-start, and every packet of the callers went to the back end.
+Guards against two processes of one run being assigned the same port.
 """
 
 import os
@@ -40,7 +39,7 @@
         first.close()
 
     def test_network_is_reserved_until_its_run_ends(self):
-        numbers = range(251, 252)  # Outside of what other runs take.
+        numbers = range(251, 252)  # Outside of NETWORK_NUMBERS.
         command = [sys.executable, "-c", "from loopback import LoopbackNetwork; "
                    "print(LoopbackNetwork(range(251, 252)).host_address(0, 1))"]
         for _ in range(2):
--- a/tests/scripts/no_fitting_test.py
+++ b/tests/scripts/no_fitting_test.py
@@ -1,6 +1,6 @@
-"""Nothing that runs follows a deployment, a day or the bench by name: what adapts, adapts to what it observes.
+"""Checks that deployed code, settings and policies name no deployment, scenario or benchmark.
 
-Comments may name the day on which a fault was found; code, settings and policies may not.
+Behaviour must depend on observations instead. Comments are exempt.
 """
 
 import os
@@ -9,8 +9,8 @@
 
 ROOT = os.path.join(os.path.dirname(__file__), "..", "..")
 FOLDERS = ("src", "platform", "deploy")
-EXCLUDED_FOLDERS = ("sim", "standin")  # They play the surroundings and are no part of what is deployed.
-# Names of the users' deployments, their zones, services, routes and days, and of the bench.
+EXCLUDED_FOLDERS = ("sim", "standin")  # Simulators, not deployed.
+# Names of deployments, their zones, services, routes and scenarios, and of the benchmark.
 DEPLOYMENT_NAMES = re.compile(
     r"lantern|cflc|cascadia|\bquote-|\bptf\b|check-?in\b|-grown|\bpnw\b|\bhall-|-hall\b|tallinn|\btln\b"
     r"|tacoma|everett|seattle|rate-(watch|push)|packet-(docs|pull)|desk-|manifest|gate-push|browse-session"
@@ -37,7 +37,7 @@
 
 
 def lines_naming_deployments(text, suffix):
-    """Returns the lines of code that name a deployment, a day or the bench."""
+    """Returns the lines of code, without comments, that match DEPLOYMENT_NAMES."""
     code = COMMENTS[suffix].sub("", text)
     return [line.strip() for line in code.splitlines() if DEPLOYMENT_NAMES.search(line)]
 
@@ -52,8 +52,10 @@
         self.assertEqual(found, [])
 
     def test_names_are_found_in_code_but_not_in_comments(self):
-        self.assertEqual(lines_naming_deployments('if (zone == "hall-a") {', ".cc"), ['if (zone == "hall-a") {'])
-        self.assertEqual(lines_naming_deployments("int a = 1;  // As on lantern-archive trouble-1.", ".cc"), [])
+        self.assertEqual(lines_naming_deployments('if (zone == "hall-a") {', ".cc"),
+                         ['if (zone == "hall-a") {'])
+        self.assertEqual(
+            lines_naming_deployments("int a = 1;  // As on lantern-archive trouble-1.", ".cc"), [])
         self.assertEqual(lines_naming_deployments('return zone == "tln-pirita"', ".lua"),
                          ['return zone == "tln-pirita"'])
 
