--- a/scripts/account.py
+++ b/scripts/account.py
@@ -1,16 +1,16 @@
 #!/usr/bin/env python3
-"""Says where a day's worth went: what was lost when no daemon ran, and what while one did.
+"""Splits the lost credit of a scenario run into unavoidable and avoidable loss.
 
     scripts/account.py SITE.toml REPORT.json LOG.txt
 
-SITE is a deployment's file, REPORT and LOG what a run of one of its days left (`--report`, and
-`--log all` on standard output). For each stretch of seconds with a loss it prints how much lay in
-the dark, when no daemon had power, how much of that nobody can serve, and which packets were
-dropped. The last line is the figure "reached of possible".
+SITE is a deployment file, REPORT and LOG are the outputs of a run with `--report` and `--log all`.
+For each time window with a loss, prints the loss, the part of it that is unavoidable because no
+daemon was running, and the most frequent reasons for dropped packets. The last line relates the
+credit to the highest possible credit.
 
-The ceiling is what a fleet would earn that serves at once whatever reaches it: a request that is
-sent in the dark is served by the first of its caller's repetitions after it, and earns what its
-aim and deadline then leave.
+The highest possible credit is that of a fleet that serves every packet it receives at once. A
+request sent during an outage is served when its client first retransmits it after the outage, and
+earns what its target time and deadline then allow.
 """
 
 import collections
@@ -21,21 +21,21 @@
 
 import fleet_log
 
-# When a caller sends again, in seconds after the first time.
-DATA_REPEATS = (0.0, 0.2, 0.6, 1.4, 3.0, 4.6, 6.2, 7.8)
-OPENING_REPEATS = (0.0, 0.2, 0.6)
-OPENING_ATTEMPT = 1.4
-STEPS_A_SECOND = 200  # Of the integration over sending times.
+# Transmission times of a client, relative to the first transmission.
+DATA_SEND_TIMES_SECONDS = (0.0, 0.2, 0.6, 1.4, 3.0, 4.6, 6.2, 7.8)
+OPENING_SEND_TIMES_SECONDS = (0.0, 0.2, 0.6)
+OPENING_ATTEMPT_SECONDS = 1.4
+STEPS_PER_SECOND = 200  # Resolution of the integration over sending times.
 REASON = re.compile(r" reason=([a-z_]+)")
-LOG_GAP = 0.3  # Lines wait in a daemon for at most this long; a kill takes them with it.
-LOSS = 0.002  # Share of a window's credit that is worth a row.
+LOG_BUFFER_SECONDS = 0.3  # A killed daemon loses log lines buffered for up to this long.
+MIN_REPORTED_LOSS = 0.002  # Share of a window's credit; smaller losses are not printed.
 
 
 def read_log(path):
-    """Returns the times of all daemons' lines and starts, and the drops by second and reason."""
+    """Returns the times of lines and starts by daemon, and the drops by second and reason."""
     lines, starts = collections.defaultdict(list), collections.defaultdict(list)
     drops = collections.defaultdict(collections.Counter)
-    for at, node, event, fields in fleet_log.records(path):
+    for at, node, event, fields in fleet_log.read_records(path):
         lines[node].append(at)
         if event == "started":
             starts[node].append(at)
@@ -45,39 +45,41 @@
     return lines, starts, drops
 
 
-def lives_of(lines, starts):
-    """Returns the lives of one daemon: from a start to its last line before the next."""
+def process_lifetimes(lines, starts):
+    """Returns (start, end) of each process of a daemon; a process ends with its last log line."""
     ends = starts[1:] + [float("inf")]
-    lives = []
+    lifetimes = []
     for begin, limit in zip(starts, ends):
         within = [at for at in lines if begin <= at < limit]
-        # Two starts may show the same time: the first life then left no line of its own.
+        # Two starts at the same time leave the first process without a line of its own.
         end = (within or [begin])[-1]
-        lives.append((begin, end if limit < float("inf") else float("inf")))
-    return lives
+        lifetimes.append((begin, end if limit < float("inf") else float("inf")))
+    return lifetimes
 
 
-def dark_spans(lines, starts):
-    """Returns the spans in which no daemon ran, after the traffic began."""
-    lives = sorted(life for node in starts for life in lives_of(lines[node], starts[node]))
-    spans, lit_until = [], None
-    for begin, end in lives:
-        if lit_until is not None and begin > lit_until + 0.05 and lit_until > 0:
-            spans.append((lit_until, begin))
-        lit_until = end if lit_until is None else max(lit_until, end)
-    return spans
+def find_outages(lines, starts):
+    """Returns the intervals after the start of traffic in which no daemon was running."""
+    lifetimes = sorted(lifetime for node in starts
+                       for lifetime in process_lifetimes(lines[node], starts[node]))
+    outages, covered_until = [], None
+    for begin, end in lifetimes:
+        if covered_until is not None and begin > covered_until + 0.05 and covered_until > 0:
+            outages.append((covered_until, begin))
+        covered_until = end if covered_until is None else max(covered_until, end)
+    return outages
 
 
-def attempts(kind):
-    """Returns the times, after the first sending, at which something of a request is sent."""
+def send_times(kind):
+    """Returns a request's transmission times in seconds, relative to the first transmission."""
     if kind.get("habit") != "fresh":
-        return DATA_REPEATS
+        return DATA_SEND_TIMES_SECONDS
     tries = 1 + kind.get("retries", 0)
-    return tuple(n * OPENING_ATTEMPT + at for n in range(tries) for at in OPENING_REPEATS)
+    return tuple(n * OPENING_ATTEMPT_SECONDS + at
+                 for n in range(tries) for at in OPENING_SEND_TIMES_SECONDS)
 
 
-def credit(kind, wait):
-    """Returns the share of a request's worth that is earned if it is first taken after `wait` s."""
+def earned_share(kind, wait):
+    """Returns the share of its worth that a request earns if accepted after `wait` seconds."""
     answered = wait + kind["work_ms"]["mean"] / 1000
     if answered <= kind["aim_ms"] / 1000:
         return 1.0
@@ -86,24 +88,25 @@
     return 0.0
 
 
-def lost_in_dark(kind, span, window):
-    """Returns the seconds' worth of a kind that nobody can earn, of a window."""
-    begin, end = span
+def unavoidable_loss(kind, outage, window):
+    """Returns the unavoidable loss of a request class in a window, in seconds of its traffic."""
+    begin, end = outage
     low, high = max(begin, window[0]), min(end, window[1])
-    steps = max(0, int((high - low) * STEPS_A_SECOND))
+    steps = max(0, int((high - low) * STEPS_PER_SECOND))
     lost = 0.0
     for step in range(steps):
-        sent = low + (step + 0.5) / STEPS_A_SECOND
-        taken = next((at for at in attempts(kind) if sent + at >= end), None)
-        lost += 1.0 - (credit(kind, taken) if taken is not None else 0.0)
-    return lost / STEPS_A_SECOND
+        sent = low + (step + 0.5) / STEPS_PER_SECOND
+        taken = next((at for at in send_times(kind) if sent + at >= end), None)
+        lost += 1.0 - (earned_share(kind, taken) if taken is not None else 0.0)
+    return lost / STEPS_PER_SECOND
 
 
-def moved_to_events(spans, events):
-    """Returns the spans, begun at the event that ended the daemons: their last lines are lost."""
+def align_to_events(outages, events):
+    """Moves the start of each outage to its cause, since buffered log lines are lost."""
     moved = []
-    for begin, end in spans:
-        causes = [event["at_s"] for event in events if begin <= event["at_s"] < begin + LOG_GAP]
+    for begin, end in outages:
+        causes = [event["at_s"] for event in events
+                  if begin <= event["at_s"] < begin + LOG_BUFFER_SECONDS]
         moved.append((min([*causes, end]) if causes else begin, end))
     return moved
 
@@ -116,34 +119,35 @@
     with open(sys.argv[2]) as file:
         report = json.load(file)
     lines, starts, drops = read_log(sys.argv[3])
-    spans = moved_to_events(dark_spans(lines, starts), report["events"])
+    outages = align_to_events(find_outages(lines, starts), report["events"])
     kinds = {kind["name"]: kind for kind in site["classes"]}
-    asked = {row["name"]: row["n"] * kinds[row["name"]].get("worth", 1)
-             for row in report["classes"] if row["name"] in kinds}
-    total = sum(asked.values())
+    requested_worth = {row["name"]: row["n"] * kinds[row["name"]].get("worth", 1)
+                       for row in report["classes"] if row["name"] in kinds}
+    total = sum(requested_worth.values())
     windows = [(float(row["name"]), row["n"], row["worth"]) for row in report["windows"]]
     width = windows[1][0] - windows[0][0]
     requests = sum(n for _, n, _ in windows)
     unavoidable_sum = lost_sum = 0.0
-    print("seconds  lost  in the dark, unavoidable  dropped, refused, reset")
+    print("seconds  lost  unavoidable in outages  dropped, refused, reset")
     for begin, n, worth in windows:
-        share = n / requests  # Of the day's credit; kinds mix alike in all windows.
+        share = n / requests  # Of the total credit; assumes the same class mix in each window.
         lost = (1 - worth) * share
         window = (begin, begin + width)
         unavoidable = sum(
-            lost_in_dark(kinds[name], span, window) / width * share * asked[name] / total
-            for name in asked for span in spans)
+            unavoidable_loss(kinds[name], outage, window) / width
+            * share * requested_worth[name] / total
+            for name in requested_worth for outage in outages)
         modelled = unavoidable
-        unavoidable = min(unavoidable, lost)  # What was earned was possible.
+        unavoidable = min(unavoidable, lost)  # The model must not exceed the measured loss.
         lost_sum, unavoidable_sum = lost_sum + lost, unavoidable_sum + unavoidable
-        if lost < LOSS * share:
+        if lost < MIN_REPORTED_LOSS * share:
             continue
         counts = sum((drops[second] for second in range(int(begin), int(begin + width))),
                      collections.Counter())
-        told = ", ".join(f"{reason} {count}" for reason, count in counts.most_common(4))
-        print(f"{begin:5.0f}-{begin + width:<4.0f} {lost:.4f}  {modelled:.4f}  {told}")
-    for begin, end in spans:
-        print(f"dark from {begin:.2f} to {end:.2f}")
+        drop_counts = ", ".join(f"{reason} {count}" for reason, count in counts.most_common(4))
+        print(f"{begin:5.0f}-{begin + width:<4.0f} {lost:.4f}  {modelled:.4f}  {drop_counts}")
+    for begin, end in outages:
+        print(f"no daemon running from {begin:.2f} to {end:.2f}")
     prices = sum(price for _, _, price in report["prices"])
     print(f"credit {1 - lost_sum:.4f}, possible {1 - unavoidable_sum:.4f}, prices {prices:.4f}, "
           f"worth {report['G']:.4f}; reached of possible "
--- a/scripts/token_fleet.py
+++ b/scripts/token_fleet.py
@@ -1,8 +1,8 @@
-"""Stand-ins for what surrounds a fleet that steers by tokens, and the fleet's processes.
+"""Test doubles and processes for a fleet that runs in token steering mode.
 
-A configuration store that can be watched, back ends that register themselves, and callers, all on
-loopback addresses. They speak the packets and the store's HTTP as docs/design/004 describes them,
-as far as a test needs.
+Provides a configuration store with watches, self-registering backends and clients, all on
+loopback addresses. They implement the subset of the packet format and of the store's HTTP API
+(docs/design/004) that the tests need.
 """
 
 import base64
@@ -22,46 +22,48 @@
 from loopback import LoopbackNetwork
 
 SYN, ACK, FIN, RST = 64, 4, 8, 1
-HEAD = struct.Struct("<IBIHIIIHHI")  # sum, flags, echo, len, seq, ack, src, dport, sport, dst
-SLOW_SECONDS = 0.05
+HEADER = struct.Struct("<IBIHIIIHHI")  # sum, flags, echo, len, seq, ack, src, dport, sport, dst
+SLOW_REPLY_DELAY_SECONDS = 0.05
 BACKEND_PORT = 8080
-PATIENCE = 20.0  # Longest wait for something that must happen, in seconds.
+WAIT_TIMEOUT_SECONDS = 20.0
 
 
-def number(address):
+def address_to_int(address):
     return struct.unpack("!I", socket.inet_aton(address))[0]
 
 
-def wait_until(condition, what, seconds=PATIENCE):
-    end = time.monotonic() + seconds
+def wait_until(condition, description, timeout_seconds=WAIT_TIMEOUT_SECONDS):
+    end = time.monotonic() + timeout_seconds
     while time.monotonic() < end:
         if condition():
             return
         time.sleep(0.02)
-    raise AssertionError(f"not within {seconds} s: {what}")
+    raise AssertionError(f"not within {timeout_seconds} s: {description}")
 
 
 class Store:
-    """Items with revisions, a history and faults. `mode`: up, busy (503), throttled (429), silent,
-    away (no answer, and the connection ends).
+    """A key-value store with revisions, a change history and fault modes.
 
-    It may come back from an older copy of itself: what was written since is gone, its revisions are
-    given out again, and a number that rises with each return stands in every answer."""
+    Modes: up, busy (503), throttled (429), unresponsive (no response), closing (closes the
+    connection without a response).
+
+    The store can be restored from an older snapshot: later writes are lost and their revisions are
+    reused. Each restore increments the era, which every response carries in a header."""
 
     def __init__(self, address):
         self.lock = threading.Condition()
         self.items, self.history, self.revision, self.history_from = {}, [], 0, 0
         self.era = 1
-        self.written = {}  # What was written last under each key; None for a removal.
+        self.last_written = {}  # Latest value by key; None if removed.
         self.mode = "up"
-        self.refused = set()  # Addresses that get no service.
+        self.blocked_clients = set()  # Addresses that receive no response.
         store = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
 
             def do_GET(self):
-                status, body = store.answer(self.client_address[0], self.path)
+                status, body = store.respond(self.client_address[0], self.path)
                 if status is None:
                     self.close_connection = True
                     return
@@ -80,7 +82,7 @@
             daemon_threads = True
 
             def handle_error(self, *_):
-                pass  # A caller that went away is no matter.
+                pass  # Clients may disconnect at any time.
 
         self.server = Server((address, 0), Handler)
         self.address = f"{address}:{self.server.server_address[1]}"
@@ -88,7 +90,7 @@
 
     def put(self, key, value):
         with self.lock:
-            self.written[key] = value
+            self.last_written[key] = value
             self.revision += 1
             text = base64.b64encode(json.dumps(value).encode()).decode()
             item = {"key": key, "value": text, "revision": self.revision, "created": self.revision,
@@ -99,7 +101,7 @@
 
     def remove(self, key):
         with self.lock:
-            self.written[key] = None
+            self.last_written[key] = None
             self.revision += 1
             self.items.pop(key, None)
             self.history.append({"key": key, "revision": self.revision, "gone": True})
@@ -109,28 +111,28 @@
         with self.lock:
             self.history, self.history_from = [], self.revision
 
-    def copy(self):
+    def snapshot(self):
         with self.lock:
             return dict(self.items), list(self.history), self.revision, self.history_from
 
-    def come_back_from(self, copy):
+    def restore(self, snapshot):
         with self.lock:
-            items, history, self.revision, self.history_from = copy
+            items, history, self.revision, self.history_from = snapshot
             self.items, self.history = dict(items), list(history)
             self.era += 1
             self.lock.notify_all()
 
-    def write_again(self):
-        """What a copy lacks is written again by whoever wrote it, and removed what should be gone."""
+    def rewrite_lost_items(self):
+        """Reapplies the writes and removals that a restored snapshot lacks."""
         with self.lock:
-            written = dict(self.written)
-        for key, value in written.items():
+            last_written = dict(self.last_written)
+        for key, value in last_written.items():
             with self.lock:
                 item = self.items.get(key)
-                stands = None if item is None else json.loads(base64.b64decode(item["value"]))
-            if value is None and stands is not None:
+                stored = None if item is None else json.loads(base64.b64decode(item["value"]))
+            if value is None and stored is not None:
                 self.remove(key)
-            elif value is not None and stands != value:
+            elif value is not None and stored != value:
                 self.put(key, value)
 
     def set_mode(self, mode):
@@ -138,15 +140,15 @@
             self.mode = mode
             self.lock.notify_all()
 
-    def answer(self, caller, path):
+    def respond(self, client, path):
         parts = urllib.parse.urlsplit(path)
         query = dict(urllib.parse.parse_qsl(parts.query, keep_blank_values=True))
         with self.lock:
-            if self.mode == "silent" or caller in self.refused:
-                self.lock.wait_for(lambda: self.mode != "silent" and caller not in self.refused,
-                                   timeout=60)
+            if self.mode == "unresponsive" or client in self.blocked_clients:
+                self.lock.wait_for(lambda: self.mode != "unresponsive"
+                                   and client not in self.blocked_clients, timeout=60)
                 return None, None
-            if self.mode == "away":
+            if self.mode == "closing":
                 return None, None
             if self.mode != "up":
                 return (503 if self.mode == "busy" else 429), {}
@@ -179,18 +181,18 @@
 
 
 class Backend:
-    """One back end: answers openings and data, and notes what is wrong about a packet."""
+    """A backend that accepts flows, acknowledges data and records misrouted packets."""
 
     def __init__(self, fleet, address, service, zone="a", warm_up_ms=0):
         self.fleet, self.address, self.service = fleet, address, service
         self.zone, self.warm_up_ms = zone, warm_up_ms
-        self.mute = False  # Acknowledges data and never answers it.
-        self.full = False  # Resets openings.
-        self.slow = False  # Answers each packet SLOW_SECONDS later.
+        self.unresponsive = False  # Ignores data packets.
+        self.overloaded = False  # Rejects connection attempts with a reset.
+        self.slow = False  # Delays each response by SLOW_REPLY_DELAY_SECONDS.
         fleet.next_id += 1
         self.id = fleet.next_id
         self.key = f"servers/i-{self.id:x}"
-        self.flows, self.strays, self.openings = {}, [], []
+        self.flows, self.misrouted_flows, self.openings = {}, [], []
         self.alive = True
         self.started = time.monotonic()
         self.sequence = 0
@@ -207,11 +209,11 @@
             "zone": self.zone, "version": "v1", "capacity": 2, "state": state,
             "warmup-left-ms": self.warm_up_ms, "sequence": self.sequence})
 
-    def leave(self):
+    def drain(self):
         self.register("draining")
 
     def crash(self):
-        """Ends without a word; the machine answers nothing more."""
+        """Closes the sockets without announcing a shutdown."""
         self.alive = False
         self.socket.close()
         self.listener.close()
@@ -227,47 +229,47 @@
     def on_datagram(self, datagram):
         target, packet = struct.unpack("!Q", datagram[:8])[0], datagram[8:]
         _, flags, echo, _, sequence, _, source, port, source_port, destination = \
-            HEAD.unpack(packet[:HEAD.size])
+            HEADER.unpack(packet[:HEADER.size])
         if target != self.id:
-            return  # For another start of a back end at this address: ignored, as the real ones do.
+            return  # Addressed to another incarnation of a backend at this address.
         flow = (source, source_port, destination, port)
         if self.slow:
-            time.sleep(SLOW_SECONDS)
-        if flags & SYN and self.full:
+            time.sleep(SLOW_REPLY_DELAY_SECONDS)
+        if flags & SYN and self.overloaded:
             self.reply(flow, echo, RST, 0, 0)
         elif flags & SYN:
             self.openings.append((time.monotonic(), flow))
             self.flows[flow] = 1000 + self.id
             self.reply(flow, echo, SYN | ACK, self.flows[flow], sequence + 1)
         elif flow in self.flows:
-            data = packet[HEAD.size:]
-            self.flows[flow] += 10 if data and not self.mute else 0
-            if data and not self.mute:
+            data = packet[HEADER.size:]
+            self.flows[flow] += 10 if data and not self.unresponsive else 0
+            if data and not self.unresponsive:
                 self.reply(flow, echo, ACK, self.flows[flow], sequence + len(data))
         else:
-            self.strays.append(flow)
+            self.misrouted_flows.append(flow)
             self.reply(flow, echo, RST, 0, 0)
 
     def reply(self, flow, echo, flags, sequence, acknowledged):
         source, source_port, destination, port = flow
-        head = HEAD.pack(1, flags, echo, 0, sequence, acknowledged & 0xffffffff, destination,
-                         source_port, port, source)
+        header = HEADER.pack(1, flags, echo, 0, sequence, acknowledged & 0xffffffff, destination,
+                             source_port, port, source)
         try:
-            self.socket.sendto(head, (socket.inet_ntoa(struct.pack("!I", source)),
+            self.socket.sendto(header, (socket.inet_ntoa(struct.pack("!I", source)),
                                       self.fleet.data_port))
         except OSError:
             pass
 
 
-class Caller:
-    """Opens flows and sends data on them, through whichever daemon it is told to."""
+class Client:
+    """Opens flows and sends data on them through given daemons."""
 
     def __init__(self, fleet, address):
         self.fleet, self.address = fleet, address
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind((address, fleet.data_port))
         self.next_port = 20000
-        self.received = {}  # By own port: the last (flags, echo, seq, ack, by the system).
+        self.received = {}  # By local port: latest (flags, echo, seq, ack, sent by a daemon).
         self.lock = threading.Condition()
         threading.Thread(target=self.run, daemon=True).start()
 
@@ -275,58 +277,59 @@
         while True:
             packet = self.socket.recv(2048)
             total, flags, echo, _, sequence, acknowledged, _, port, _, _ = \
-                HEAD.unpack(packet[:HEAD.size])
+                HEADER.unpack(packet[:HEADER.size])
             with self.lock:
                 self.received[port] = (flags, echo, sequence, acknowledged, total == 0)
                 self.lock.notify_all()
 
     def send(self, daemon, port, flags, echo, sequence, acknowledged, to, data=b""):
         address, to_port = to
-        head = HEAD.pack(1, flags, echo, len(data), sequence, acknowledged, number(self.address),
-                         to_port, port, number(address))
-        self.socket.sendto(head + data, (daemon.address, self.fleet.data_port))
+        header = HEADER.pack(1, flags, echo, len(data), sequence, acknowledged,
+                             address_to_int(self.address), to_port, port, address_to_int(address))
+        self.socket.sendto(header + data, (daemon.address, self.fleet.data_port))
 
     def exchange(self, daemons, port, flags, echo, sequence, acknowledged, to, data=b"",
                  waits=(0.2, 0.4, 0.8)):
-        """Sends a packet, again after each wait, each time by the next daemon.
+        """Sends a packet, retransmitting it after each wait through the next daemon.
 
-        Returns the answer, or None."""
+        Returns the response, or None on timeout."""
         with self.lock:
             self.received.pop(port, None)
-        for copy, wait in enumerate(waits):
+        for attempt, wait in enumerate(waits):
             opening = flags & SYN
-            self.send(daemons[copy % len(daemons)], port, flags, echo, sequence,
-                      copy if opening else acknowledged, to, data)
+            self.send(daemons[attempt % len(daemons)], port, flags, echo, sequence,
+                      attempt if opening else acknowledged, to, data)
             with self.lock:
                 if self.lock.wait_for(lambda: port in self.received, timeout=wait):
                     return self.received[port]
         return None
 
     def open(self, daemons, to):
-        """Returns a flow (port, echo, the back end's sequence number), or None where refused."""
+        """Opens a flow. Returns its state, or None if it was refused or timed out."""
         self.next_port += 1
         port = self.next_port
-        answer = self.exchange(daemons, port, SYN, 0, 100, 0, to)
-        if answer is None or answer[0] & RST:
+        response = self.exchange(daemons, port, SYN, 0, 100, 0, to)
+        if response is None or response[0] & RST:
             return None
-        flow = {"port": port, "echo": answer[1], "ack": answer[2] + 1, "seq": 101, "to": to}
+        flow = {"port": port, "echo": response[1], "ack": response[2] + 1, "seq": 101, "to": to}
         return flow
 
-    def ask(self, daemons, flow, waits=(0.2, 0.4, 0.8)):
-        """Sends ten bytes on a flow. Returns ok, reset (by the system), gone (by the back end), or
-        silent."""
-        answer = self.exchange(daemons, flow["port"], ACK, flow["echo"], flow["seq"], flow["ack"],
-                               flow["to"], b"0123456789", waits)
-        if answer is None:
-            return "silent"
-        if answer[0] & RST:
-            return "reset" if answer[4] else "gone"
-        flow["echo"], flow["ack"], flow["seq"] = answer[1], answer[2], answer[3]
+    def send_data(self, daemons, flow, waits=(0.2, 0.4, 0.8)):
+        """Sends ten bytes on a flow.
+
+        Returns "ok", "reset" (by the load balancer), "backend_reset" or "timeout"."""
+        response = self.exchange(daemons, flow["port"], ACK, flow["echo"], flow["seq"],
+                                 flow["ack"], flow["to"], b"0123456789", waits)
+        if response is None:
+            return "timeout"
+        if response[0] & RST:
+            return "reset" if response[4] else "backend_reset"
+        flow["echo"], flow["ack"], flow["seq"] = response[1], response[2], response[3]
         return "ok"
 
 
 class Daemon:
-    """One process of cobaltgauged."""
+    """A cobaltgauged process with its settings and log files."""
 
     def __init__(self, fleet, name, address, seeds):
         self.fleet, self.name, self.address, self.seeds = fleet, name, address, seeds
@@ -372,8 +375,8 @@
         self.process.kill()
         self.process.wait()
 
-    def send_signal(self, what):
-        self.process.send_signal(what)
+    def send_signal(self, signal_number):
+        self.process.send_signal(signal_number)
 
     def get(self, port, path):
         try:
@@ -390,32 +393,35 @@
     def metrics(self):
         return self.get(self.fleet.admin_port, "/metrics")[1]
 
-    def lines(self, event):
+    def log_lines(self, event):
         with open(self.log, encoding="utf-8") as log:
             return [line for line in log if f"event={event} " in line + " "]
 
 
 class TokenFleet:
+    """A store, daemons and backends on a loopback network reserved for this run."""
+
     def __init__(self, build, directory, policy):
         self.build, self.directory, self.policy = build, directory, policy
         self.network = LoopbackNetwork()
-        self.data_port, self.ready_port = self.network.port(), self.network.port()
-        self.peer_port, self.admin_port = self.network.port(), self.network.port()
-        self.store = Store(self.at(0, 1))
+        self.data_port, self.ready_port = self.network.allocate_port(), self.network.allocate_port()
+        self.peer_port, self.admin_port = self.network.allocate_port(), self.network.allocate_port()
+        self.store = Store(self.host_address(0, 1))
         self.next_id = 0x1000
         self.daemons, self.backends = [], []
         self.version = 0
-        self.services = []  # As the configuration describes them.
+        self.services = []  # In the format of the store's configuration item.
 
-    def at(self, net, host):
-        """Returns an address of this run."""
-        return self.network.at(net, host)
+    def host_address(self, net, host):
+        """Returns an address of the reserved loopback network."""
+        return self.network.host_address(net, host)
 
     def publish(self, routes):
-        """`routes`: (address, port, service) each."""
+        """Publishes a new configuration version; `routes` holds (address, port, service) tuples."""
         self.version += 1
         self.store.put("op/config", {
-            "version": self.version, "services": self.services, "limits": {"idle-timeout-ms": 15000},
+            "version": self.version, "services": self.services,
+            "limits": {"idle-timeout-ms": 15000},
             "routes": [{"name": f"r-{port}", "host": address, "path-prefix": f"/{port}/",
                         "service": service} for address, port, service in routes]})
 
@@ -427,7 +433,7 @@
     def evacuate(self, zone):
         self.store.put(f"op/evacuate/{zone}", {})
 
-    def take_back(self, zone):
+    def restore_zone(self, zone):
         self.store.remove(f"op/evacuate/{zone}")
 
     def start_backend(self, address, service, zone="a", warm_up_ms=0):
