--- a/src/net/address.h
+++ b/src/net/address.h
@@ -1,5 +1,5 @@
 /// @file
-/// Conversions between the core's addresses, text and Asio.
+/// Conversions between core addresses, text and Asio types.
 #pragma once
 
 #include <asio/ip/tcp.hpp>
@@ -11,10 +11,11 @@
 
 namespace cobaltgauge::net {
 
-/// @return the address, or nothing where the text is no IPv4 or IPv6 address.
+/// @return the address, or nullopt if `text` is not an IPv4 or IPv6 address.
 std::optional<core::IpAddress> parseAddress(const std::string& text);
 
 /// Parses "192.0.2.1:80" or "[2001:db8::1]:80".
+/// @return the endpoint, or nullopt if `text` is not in either form.
 std::optional<core::Endpoint> parseEndpoint(const std::string& text);
 
 std::string formatAddress(const core::IpAddress& address);
--- a/src/net/coap_message.h
+++ b/src/net/coap_message.h
@@ -1,6 +1,6 @@
 /// @file
-/// CoAP messages (RFC 7252) as the refusals and the stand-ins need them. Parsing and option coding
-/// are libcoap's; only the four-byte header is written here, since libcoap does not export that.
+/// CoAP messages (RFC 7252) for refusals and the stand-ins. libcoap parses messages and encodes
+/// options; the four-byte header is encoded here because libcoap does not export a function for it.
 #pragma once
 
 #include <cstdint>
@@ -50,15 +50,15 @@
   std::string payload;
 
   bool isRequest() const { return code >= 1 && code < 32; }
-  /// @return the first option with this number as an unsigned integer.
+  /// @return the first option with this number as an unsigned integer, or nullopt.
   std::optional<std::uint32_t> uintOption(std::uint16_t number) const;
-  /// @return the first Uri-Path segment, empty where there is none.
+  /// @return the first Uri-Path segment, or an empty string.
   std::string path() const;
   void addUint(std::uint16_t number, std::uint32_t value);
   void addText(std::uint16_t number, const std::string& value);
 };
 
-/// @return the message, or nothing where the bytes are no CoAP message.
+/// @return the message, or nullopt if `bytes` is not a valid CoAP message.
 std::optional<CoapMessage> decodeCoap(ByteView bytes);
 
 Bytes encodeCoap(const CoapMessage& message);
--- a/src/net/geneve.h
+++ b/src/net/geneve.h
@@ -1,5 +1,5 @@
 /// @file
-/// Geneve encapsulation, RFC 8926, as far as the data path needs it.
+/// Geneve encapsulation (RFC 8926): the subset used by the data path.
 #pragma once
 
 #include <array>
@@ -19,14 +19,14 @@
 inline constexpr std::uint16_t kEtherTypeIpv6 = 0x86dd;
 /// Option class from the experimental range of RFC 8926, section 7.
 inline constexpr std::uint16_t kOptionClass = 0xff01;
-/// Type of the routing option; its critical bit is set, so that a back end which does not know it
-/// must drop the packet.
+/// Type of the routing option. The critical bit is set, so a backend that does not support the
+/// option must drop the packet.
 inline constexpr std::uint8_t kRoutingOptionType = 0x81;
 inline constexpr std::size_t kRoutingOptionBytes = 4 + 16;
 inline constexpr std::size_t kRoutedHeaderBytes = kGeneveHeaderBytes + kRoutingOptionBytes;
 
-/// Tells a back end which service, incarnation and version a packet was routed by, so that a host
-/// that was given to another service refuses a stray.
+/// The service, backend incarnation and configuration version that a packet was routed by. A host
+/// that was reassigned to another service uses it to reject misrouted packets.
 struct RoutingOption {
   core::ServiceId service{0};
   std::uint32_t incarnation = 0;
@@ -46,17 +46,17 @@
 /// Why a datagram is not an acceptable Geneve packet.
 enum class GeneveError : std::uint8_t {
   kNone,
-  kShort,            ///< Shorter than its own header says.
-  kVersion,          ///< A version other than zero.
-  kControlPacket,    ///< The O bit is set: not a data packet.
+  kShort,            ///< Shorter than its header or its option length.
+  kVersion,          ///< The version is not zero.
+  kControlPacket,    ///< The O bit is set.
   kProtocolType,     ///< Neither IPv4 nor IPv6.
-  kUnknownCritical,  ///< An unknown option that is marked critical.
+  kUnknownCritical,  ///< An unknown option with the critical bit set.
   kMalformedOption,
 };
 
 const char* toString(GeneveError error);
 
-/// Decodes datagrams; keeps the reason of the last failure.
+/// Decodes datagrams and keeps the error of the last one.
 class GeneveDecoder {
  public:
   std::optional<GenevePacket> decode(ByteView datagram);
@@ -69,11 +69,11 @@
   GeneveError lastError_ = GeneveError::kNone;
 };
 
-/// Writes a header without options.
+/// Encodes a header without options.
 std::array<std::uint8_t, kGeneveHeaderBytes> encodeHeader(std::uint32_t vni,
                                                           std::uint16_t protocolType);
 
-/// Writes a header with the routing option.
+/// Encodes a header with the routing option.
 std::array<std::uint8_t, kRoutedHeaderBytes> encodeRoutedHeader(std::uint32_t vni,
                                                                 std::uint16_t protocolType,
                                                                 const RoutingOption& routing);
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -19,15 +19,14 @@
 namespace {
 
 constexpr std::size_t kReadBytes = 16U << 10U;
-/// Answers above this size are refused; a store's page is about 1 MB, base64 in JSON 1.4 MB.
+/// Larger responses are rejected.
 constexpr std::size_t kMaxBodyBytes = 8U << 20U;
-/// A connection that is not open after this long never will be, or only after its opening packet
-/// was sent again a second later; a new attempt is quicker. Far above any round trip.
+/// Shorter than the initial TCP retransmission timeout of one second (RFC 6298), so that a lost SYN
+/// is retried sooner by a new connection attempt.
 constexpr auto kConnectTimeout = std::chrono::milliseconds(200);
-/// No answer takes longer than this, however steadily it arrives. A megabyte takes 1.2 s on a small
-/// machine's link.
+/// Received data extends the request timeout only until this long after the initial timeout.
 constexpr auto kMaxResponseDuration = std::chrono::seconds(5);
-/// A connection without sign of life for kKeepIdle + kKeepCount x kKeepInterval is dead.
+/// TCP keepalive closes a dead connection after idle time + probe count x interval.
 constexpr int kKeepAliveIdleSeconds = 1;
 constexpr int kKeepAliveIntervalSeconds = 1;
 constexpr int kKeepAliveProbeCount = 2;
@@ -39,7 +38,7 @@
 
 }  // namespace
 
-/// One connection and the request on it.
+/// A connection and its current request.
 class HttpClient::Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(asio::io_context& context, const core::Endpoint& server)
@@ -99,7 +98,7 @@
     });
   }
 
-  // The parser bounds the size of a head; a name or a value may come in parts.
+  // Names and values may arrive in several parts. The parser limits the size of the header.
   int onHeaderName(const char* data, std::size_t size) {
     if (std::exchange(inHeaderValue_, false)) {
       headerName_.clear();
@@ -125,7 +124,8 @@
   }
 
   void connect() {
-    setTimeout(std::min<std::chrono::milliseconds>(timeout_, kConnectTimeout), "no connection");
+    setTimeout(std::min<std::chrono::milliseconds>(timeout_, kConnectTimeout),
+               "connection attempt timed out");
     asio::error_code error;
     socket_.open(server_.protocol(), error);
     if (error) {
@@ -152,7 +152,7 @@
 
   void send() {
     deadline_ = asio::steady_timer::clock_type::now() + timeout_ + kMaxResponseDuration;
-    setTimeout(timeout_, "no answer in time");
+    setTimeout(timeout_, "response timed out");
     asio::async_write(socket_, asio::buffer(request_),
                       [self = shared_from_this()](const asio::error_code& error, std::size_t) {
                         if (error) {
@@ -175,7 +175,7 @@
     if (!handler_) {
       return;
     }
-    // A length of zero tells the parser that the connection ended, which may end the body.
+    // A length of zero signals the end of the connection, which may complete the body.
     const std::size_t length = error ? 0 : size;
     const std::size_t parsed = http_parser_execute(&parser_, &settings_, buffer_.data(), length);
     if (complete_) {
@@ -194,7 +194,7 @@
 
   void onProgress() {
     if (asio::steady_timer::clock_type::now() < deadline_) {
-      setTimeout(timeout_, "the answer stopped half way");
+      setTimeout(timeout_, "incomplete response timed out");
     }
     if (onProgress_) {
       onProgress_();
@@ -227,7 +227,7 @@
   std::function<void()> onProgress_;
   Handler handler_;
   HttpResult result_;
-  std::string headerName_;  ///< Of the header that arrives.
+  std::string headerName_;  ///< Name of the header being received.
   bool inHeaderValue_ = false;
   http_parser parser_{};
   http_parser_settings settings_{};
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -1,7 +1,6 @@
 /// @file
-/// One HTTP/1.1 request at a time over a kept connection, on the caller's event loop. Parsing is
-/// http-parser's. Keep-alive probes and TCP_USER_TIMEOUT tell a dead connection while a request
-/// waits long for its answer.
+/// Asynchronous HTTP/1.1 client with one persistent connection and one request at a time. Uses
+/// http-parser. TCP keepalive and TCP_USER_TIMEOUT detect a dead connection during long polls.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -24,15 +23,15 @@
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// Sends a GET; `handler` is called once, unless cancel() comes first.
-  /// @param timeout longest silence of the server; an answer may take longer while parts arrive.
-  /// @param target path and query, already encoded.
+  /// Sends a GET request. `handler` is called once, unless cancel() is called first.
+  /// @param target encoded path and query.
+  /// @param timeout maximum time without received data; a response may take longer in total.
   void get(const std::string& target, std::chrono::milliseconds timeout, Handler handler);
 
-  /// Calls `listener` with each part of an answer but the last.
+  /// Calls `listener` after each received part of a response except the last one.
   void setProgressListener(std::function<void()> listener) { onProgress_ = std::move(listener); }
 
-  /// Gives the request under way up and closes the connection.
+  /// Aborts the current request and closes the connection.
   void cancel();
 
  private:
--- a/src/net/http_result.h
+++ b/src/net/http_result.h
@@ -1,5 +1,5 @@
 /// @file
-/// What an HTTP request gave.
+/// Result of an HTTP request.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,17 @@
 
 enum class HttpFailure : std::uint8_t { kNone, kTimedOut, kConnectionLost, kMalformed };
 
-/// What a request gave; the other fields count only without failure.
+/// Response or failure of a request; on failure only `failure` and `reason` are valid.
 struct HttpResult {
   HttpFailure failure = HttpFailure::kNone;
   int status = 0;
   std::map<std::string, std::string> headers =
-      {};  ///< Names in lower case; of equal ones the last.
+      {};  ///< Names in lower case; the last value of repeated headers.
   std::string body = {};
-  std::string reason = {};  ///< Of a failure.
+  std::string reason = {};  ///< Describes a failure.
 
-  /// @param name in lower case. @return the header's value, empty where the answer has none.
+  /// @param name header name in lower case.
+  /// @return the value, or an empty view if the response lacks the header.
   std::string_view header(const std::string& name) const {
     const auto found = headers.find(name);
     return found == headers.end() ? std::string_view() : std::string_view(found->second);
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -17,8 +17,7 @@
 constexpr std::size_t kReadBytes = 4096;
 constexpr std::size_t kMaxTargetBytes = 4096;
 constexpr int kMaxConnections = 64;
-/// A connection may go silent without a reset, and whoever asks twice a second and is not answered
-/// opens another one: they must not take all places. Longer than the pause of whoever asks rarely.
+/// Closes unresponsive connections, so that they do not use up the connection limit.
 constexpr auto kIdleTimeout = std::chrono::seconds(10);
 constexpr int kMethodNotAllowed = 405;
 
@@ -50,7 +49,7 @@
   bool closed = false;
 };
 
-/// One connection; answers its requests in turn.
+/// A connection; handles its requests one after another.
 class HttpServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(asio::ip::tcp::socket socket, std::shared_ptr<Shared> shared)
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -1,6 +1,6 @@
 /// @file
-/// Answers GET requests on the caller's event loop: readiness, metrics and operators' pages.
-/// Parsing is http-parser's. Bounded in connections, so that nobody can use up the descriptors.
+/// Asynchronous HTTP server for GET requests: readiness, metrics and admin pages. Uses http-parser.
+/// Limits the number of connections to protect the process's file descriptors.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -13,7 +13,6 @@
 
 namespace cobaltgauge::net {
 
-/// One handler.
 struct HttpResponse {
   int status = 200;
   std::string contentType = "text/plain";
@@ -22,7 +21,7 @@
 
 class HttpServer {
  public:
-  /// @param handler called with the path of each GET, without its query.
+  /// Called with the path of each GET request, without its query.
   using Handler = std::function<HttpResponse(const std::string& path)>;
 
   HttpServer(asio::io_context& context, Handler handler);
@@ -30,7 +29,7 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// @return false where the endpoint cannot be bound; see lastReason().
+  /// @return false if the endpoint cannot be bound; see lastReason().
   bool open(const core::Endpoint& endpoint);
   std::uint16_t port() const;
   const std::string& lastReason() const { return lastReason_; }
--- a/src/net/inner_packet.cc
+++ b/src/net/inner_packet.cc
@@ -40,7 +40,7 @@
   return Tins::IPv6Address(address.bytes.data());
 }
 
-/// An inner packet with its network layer parsed by libtins.
+/// An inner packet parsed by libtins. `tcp` and `udp` point into `network`.
 struct ParsedPacket {
   std::unique_ptr<Tins::PDU> network;
   core::FlowKey flow;
@@ -56,7 +56,7 @@
   return ip.search_header(Tins::IPv6::FRAGMENT) != nullptr;
 }
 
-/// Parses the packet. libtins reports malformed input by exceptions; they end here.
+/// Parses the packet. Catches the exceptions that libtins throws on malformed input.
 std::optional<ParsedPacket> parse(std::uint16_t protocolType, ByteView packet, InnerError& error) {
   error = InnerError::kMalformed;
   if (packet.size() < kMinIpv4Bytes) {
--- a/src/net/inner_packet.h
+++ b/src/net/inner_packet.h
@@ -1,6 +1,5 @@
 /// @file
-/// Inner IPv4/IPv6 packets: what the core must know of them, and the answers that refuse them.
-/// Headers are read and written by libtins.
+/// Parses inner IPv4/IPv6 packets for the core and builds replies to them. Uses libtins.
 #pragma once
 
 #include <cstdint>
@@ -17,26 +16,26 @@
 /// Why an inner packet cannot be routed.
 enum class InnerError : std::uint8_t {
   kNone,
-  kMalformed,  ///< Too short, bad lengths or not an IP packet.
-  kFragment,   ///< A fragment: it has no ports, so it cannot be routed with its flow.
+  kMalformed,  ///< Truncated, inconsistent lengths or not an IP packet.
+  kFragment,   ///< Fragments cannot be routed because most have no ports.
   kProtocol,   ///< Neither TCP nor UDP.
 };
 
 const char* toString(InnerError error);
 
-/// A parsed UDP packet; `payload` is copied.
+/// A parsed UDP packet; owns a copy of the payload.
 struct UdpPacket {
   core::FlowKey flow;
   Bytes payload;
 };
 
-/// Reads inner packets; keeps the reason of the last failure.
+/// Parses inner packets and keeps the error of the last one.
 class InnerPacketReader {
  public:
-  /// @param protocolType Ethertype that the Geneve header names.
+  /// @param protocolType Ethertype from the Geneve header.
   std::optional<core::PacketSummary> summarize(std::uint16_t protocolType, ByteView packet);
 
-  /// Reads a whole UDP packet with its payload.
+  /// Parses a UDP packet with its payload.
   std::optional<UdpPacket> readUdp(std::uint16_t protocolType, ByteView packet);
 
   InnerError lastError() const { return lastError_; }
@@ -45,14 +44,14 @@
   InnerError lastError_ = InnerError::kNone;
 };
 
-/// Builds an IP packet with a UDP payload, with lengths and checksums.
+/// Builds an IP packet with a UDP datagram, including lengths and checksums.
 Bytes buildUdpPacket(const core::FlowKey& flow, ByteView payload);
 
 /// Builds the TCP reset that answers a SYN (RFC 9293, section 3.10.7.1).
-/// @return nothing where `packet` is no TCP segment.
+/// @return nullopt if `packet` is not a TCP segment.
 std::optional<Bytes> buildTcpReset(std::uint16_t protocolType, ByteView packet);
 
-/// @return the flow of packets in the other direction.
+/// @return the flow with source and destination exchanged.
 core::FlowKey reversed(const core::FlowKey& flow);
 
 /// @return the Ethertype for a flow's address family.
--- a/src/net/packed_backends.cc
+++ b/src/net/packed_backends.cc
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kIpv4Bytes = 4;
 
-/// Gives each name of a list a number.
+/// Assigns an index to each distinct name.
 class NameTable {
  public:
   explicit NameTable(std::vector<std::string>& names) : names_(names) {}
--- a/src/net/packed_backends.h
+++ b/src/net/packed_backends.h
@@ -1,7 +1,7 @@
 /// @file
-/// The wire form of a list of back ends: 40 to 50 bytes each, where a plain list of their fields
-/// takes 90 to 110. Names that repeat stand once, keys without what all of them share, revisions as
-/// the distance from the lowest, addresses as their 4 or 16 bytes.
+/// Compact wire format for a list of backends: 40 to 50 bytes each. Names are indices into a table,
+/// keys omit their common prefix, revisions are offsets from the lowest one, and addresses have 4
+/// or 16 bytes.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 namespace cobaltgauge::net {
 
 struct PackedBackend {
-  std::string keySuffix;  ///< What follows the shared prefix.
+  std::string keySuffix;  ///< Key without the common prefix.
   core::BackendId id = core::kNoBackend;
-  std::uint64_t eraOffset = 0;
-  std::uint64_t revisionOffset = 0;   ///< The revision within its era.
-  std::vector<std::uint8_t> address;  ///< In network order.
+  std::uint64_t eraOffset = 0;        ///< Offset from `baseEra`.
+  std::uint64_t revisionOffset = 0;   ///< Offset from `baseRevision`.
+  std::vector<std::uint8_t> address;  ///< 4 or 16 bytes in network byte order.
   std::uint16_t port = 0;
-  std::uint32_t service = 0;  ///< Index into the names, as the two that follow.
+  std::uint32_t service = 0;  ///< Index into `names`, as `zone` and `softwareVersion`.
   std::uint32_t zone = 0;
   std::uint32_t softwareVersion = 0;
   std::uint32_t capacity = 1;
@@ -40,7 +40,7 @@
 
 PackedBackends packBackends(const std::vector<core::ViewBackend>& backends);
 
-/// @return nothing where an index or an address is not valid.
+/// @return nullopt if an index or an address is invalid.
 std::optional<std::vector<core::ViewBackend>> unpackBackends(const PackedBackends& packed);
 
 }  // namespace cobaltgauge::net
--- a/src/net/packet_format.h
+++ b/src/net/packet_format.h
@@ -1,6 +1,6 @@
 /// @file
-/// Seam between the data socket of token steering and one format of packets. An implementation only
-/// translates; it decides and keeps nothing but the reason of the last failure.
+/// Interface between the data socket of token steering and a platform's packet format.
+/// Implementations only convert packets; they make no routing decisions.
 #pragma once
 
 #include <cstdint>
@@ -14,13 +14,13 @@
 
 namespace cobaltgauge::net {
 
-/// Why a datagram is no packet of the format.
+/// Why a datagram is not a valid packet of the format.
 enum class PacketFormatError : std::uint8_t {
   kNone,
-  kShort,        ///< Shorter than its head.
-  kLong,         ///< More data than a packet may hold.
-  kWrongLength,  ///< The head's length of the data is not the data's.
-  kUnknownFlag,  ///< A flag that the format does not know.
+  kShort,        ///< Shorter than the header.
+  kLong,         ///< More data than the format allows.
+  kWrongLength,  ///< The length field does not match the data length.
+  kUnknownFlag,  ///< An unknown flag is set.
 };
 inline constexpr std::size_t kPacketFormatErrorCount = 5;
 
@@ -30,23 +30,23 @@
  public:
   virtual ~PacketFormat() = default;
 
-  /// @return what the core needs of a packet, or nothing; see lastError().
+  /// @return the packet's summary for the core, or nullopt on an error; see lastError().
   virtual std::optional<core::PacketSummary> read(ByteView packet) = 0;
   virtual PacketFormatError lastError() const = 0;
 
-  /// @return how many bytes go before a packet on its way to a back end.
+  /// @return the number of bytes that precede a packet sent to a backend.
   virtual std::size_t prefixBytes() const = 0;
-  /// Prepares a packet for its back end.
-  /// @param datagram prefixBytes() bytes to be filled, then the packet, whose token is written.
+  /// Fills in the prefix and the token of a packet to be sent to a backend.
+  /// @param datagram prefixBytes() bytes for the prefix, followed by the packet.
   virtual void prepareForward(const core::ForwardToBackend& forward,
                               std::span<std::uint8_t> datagram) const = 0;
 
-  /// @return the refusal of a flow, for its caller.
-  /// @param acknowledgement the caller's last one; any while the flow is not open.
+  /// @return the packet that refuses a flow, to be sent to its client.
+  /// @param acknowledgement the client's last acknowledgement; any value before the flow is open.
   virtual std::vector<std::uint8_t> refusal(const core::FlowKey& flow,
                                             std::uint32_t acknowledgement) const = 0;
-  /// @return where answers to the flow's caller are sent.
-  /// @param local where this daemon takes packets.
+  /// @return the destination for packets to the flow's client.
+  /// @param local endpoint on which this daemon receives packets.
   virtual core::Endpoint clientEndpoint(const core::FlowKey& flow,
                                         const core::Endpoint& local) const = 0;
 };
--- a/src/net/peer_codec.cc
+++ b/src/net/peer_codec.cc
@@ -71,7 +71,7 @@
   pack(packer, packBackends(backends));
 }
 
-// Decoding. Any mismatch throws msgpack::type_error, which decode() turns into an error.
+// Decoding. A mismatch throws msgpack::type_error, which decodeBody() catches.
 
 template <typename T>
 void unpack(const msgpack::object& object, T& value);
@@ -112,7 +112,7 @@
   }
 }
 
-/// Highest valid value of each enumeration that is not an open identity.
+/// Highest valid value of an enumeration; strongly typed identifiers allow the full range.
 template <typename T>
 constexpr std::uint64_t highestValue() {
   if constexpr (std::is_same_v<T, core::MemberState>) {
@@ -175,7 +175,7 @@
   }
 }
 
-/// Limits on nesting and sizes, so that a hostile length cannot exhaust memory.
+/// Limits on nesting and sizes, which protect against memory exhaustion by malicious input.
 constexpr std::size_t kMaxElements = 1U << 20U;
 constexpr std::size_t kMaxDepth = 16;
 constexpr std::uint32_t kEnvelopeFields = 5;
--- a/src/net/peer_codec.h
+++ b/src/net/peer_codec.h
@@ -1,6 +1,6 @@
 /// @file
-/// Wire form of peer messages: msgpack, then a truncated HMAC-SHA-256 (RFC 2104) over it, so that
-/// a stranger's datagram is told from a peer's.
+/// Wire format of peer messages: msgpack followed by a truncated HMAC-SHA-256 (RFC 2104), which
+/// authenticates the sender.
 #pragma once
 
 #include <optional>
@@ -21,21 +21,21 @@
   PeerFrame frame;
 };
 
-/// Why a datagram is not a peer message of this cluster.
+/// Why a datagram is not a valid peer message of this cluster.
 enum class PeerCodecError : std::uint8_t {
   kNone,
   kShort,
   kAuthenticator,  ///< The cluster key does not match.
-  kCluster,        ///< Another cluster's name.
-  kFormat,         ///< Another format version.
+  kCluster,        ///< Sent by a member of another cluster.
+  kFormat,         ///< Unsupported format version.
   kMalformed,
 };
 
 const char* toString(PeerCodecError error);
-/// @return the name of a kind of message, by its place in PeerFrame; for metrics.
+/// @return the metric label of a message type, given its index in PeerFrame.
 const char* frameName(std::size_t index);
 
-/// Encodes and decodes frames of one cluster; keeps the reason of the last failure.
+/// Encodes and decodes frames of one cluster and keeps the error of the last decoding.
 class PeerCodec {
  public:
   /// @param key shared secret of the cluster.
@@ -43,7 +43,7 @@
 
   std::vector<std::uint8_t> encode(const PeerFrame& frame) const;
   std::optional<ReceivedFrame> decode(ByteView datagram);
-  /// Decodes what stands before the authenticator, once that was found right.
+  /// Decodes a datagram's body without checking its authenticator.
   std::optional<ReceivedFrame> decodeBody(ByteView body);
   PeerCodecError lastError() const { return lastError_; }
 
@@ -57,7 +57,7 @@
   PeerCodecError lastError_ = PeerCodecError::kNone;
 };
 
-/// Turns a core message into a frame.
+/// Converts a core message to a frame.
 PeerFrame toFrame(const core::PeerMessage& message);
 
 }  // namespace cobaltgauge::net
--- a/src/net/peer_fields.h
+++ b/src/net/peer_fields.h
@@ -1,6 +1,6 @@
 /// @file
-/// Names the fields of every peer message once; the encoder and the decoder both visit them in
-/// this order, which is the order on the wire.
+/// Field lists of all peer messages. The encoder and the decoder visit the fields in this order,
+/// which is the order on the wire.
 #pragma once
 
 #include <tuple>
@@ -15,16 +15,16 @@
 
 namespace cobaltgauge::net {
 
-/// A caller's packet on its way between two daemons.
+/// A client's packet forwarded from one daemon to another.
 struct ForwardedPacket {
   core::MemberId ingress = core::kNoMember;
   std::uint8_t hops = 0;
-  bool wantsListing = false;  ///< The ingress daemon lacks the shard's recorded flows.
+  bool wantsListing = false;  ///< The ingress daemon lacks the shard's flow records.
   std::uint16_t protocolType = 0;
   std::vector<std::uint8_t> packet;
 };
 
-/// Everything that travels between daemons. The index in this list is the type on the wire.
+/// All messages between daemons. The index in this list is the message type on the wire.
 using PeerFrame =
     std::variant<core::Ping, core::Ack, core::PingRequest, core::MemberSync,
                  core::ConfigurationRequest, core::ConfigurationTransfer, core::RecordsMessage,
@@ -33,7 +33,8 @@
                  core::OutlierReport, core::LoadReport, core::LoadSummary,
                  core::UnreachableGroupsNotice, core::ViewPageRequest, core::ViewPage>;
 
-// One overload per message: fieldsOf(m) ties the fields of `m`, const or not.
+// One overload per message: fieldsOf(m) returns references to the fields of a const or non-const
+// `m`.
 
 template <typename M, typename T>
 concept IsMessage = std::same_as<std::remove_const_t<M>, T>;
--- a/src/net/peer_transport.cc
+++ b/src/net/peer_transport.cc
@@ -16,7 +16,7 @@
 constexpr std::uint32_t kMaxStreamBytes = 16U << 20U;
 constexpr std::size_t kLengthBytes = 4;
 constexpr int kSocketBufferBytes = 4 << 20;
-/// A TCP listener must share the UDP port; a free pair is searched this often.
+/// Attempts to find a port that is free for both UDP and TCP.
 constexpr int kMaxBindAttempts = 16;
 
 std::uint32_t readLength(const std::array<std::uint8_t, kLengthBytes>& bytes) {
@@ -37,14 +37,14 @@
 
 }  // namespace
 
-/// One connection that ends after a bound, since it may go silent without a word.
+/// A TCP connection that is closed after a timeout, even if the peer is unresponsive.
 class PeerTransport::TimedStream : public std::enable_shared_from_this<TimedStream> {
  public:
   TimedStream(asio::ip::tcp::socket socket, PeerTransport& owner)
       : socket_(std::move(socket)), owner_(owner), timer_(socket_.get_executor()) {}
 
  protected:
-  /// Closes the connection after the bound, which ends what waits on it.
+  /// Closes the connection after the timeout, which aborts its pending operations.
   void startTimer() {
     timer_.expires_after(owner_.streamTimeout_);
     timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
@@ -103,7 +103,7 @@
   std::vector<std::uint8_t> body_;
 };
 
-/// Carries one frame to a peer.
+/// Sends one length-prefixed frame to a peer.
 class PeerTransport::OutboundStream : public TimedStream {
  public:
   OutboundStream(asio::io_context& context, std::vector<std::uint8_t> bytes, PeerTransport& owner)
@@ -230,7 +230,7 @@
 
 void PeerTransport::send(const std::vector<core::Endpoint>& destinations, const PeerFrame& frame) {
   const std::vector<std::uint8_t> bytes = codec_.encode(frame);
-  // A forwarded packet is data and must not wait for a connection, whatever its length.
+  // Forwarded packets are always sent as datagrams to avoid the delay of a connection setup.
   const bool isDataPacket = std::holds_alternative<ForwardedPacket>(frame);
   counters_.bytesSentByType[frame.index()] += bytes.size() * destinations.size();
   for (const core::Endpoint& destination : destinations) {
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -1,6 +1,6 @@
 /// @file
-/// Sends and receives peer frames: one UDP datagram where a frame fits, a short TCP connection
-/// where it does not.
+/// Sends and receives peer frames: over UDP if a frame fits into one datagram, otherwise over a TCP
+/// connection per frame.
 #pragma once
 
 #include <array>
@@ -17,20 +17,19 @@
 
 namespace cobaltgauge::net {
 
-/// A connection that has not carried its frame after this long never will: a frame of 3 MB takes as
-/// long on a link of 10 Mbit/s, and its receiver has asked others by then.
+/// Maximum time to connect and transfer one frame over TCP.
 inline constexpr std::chrono::milliseconds kStreamTimeout{3000};
 
-/// Counters of a PeerTransport; bytes include the authenticator, not UDP/IP headers.
+/// Counters of a PeerTransport. Bytes include the authenticator but not transport and IP headers.
 struct PeerTransportCounters {
   std::uint64_t datagramsSent = 0;
   std::uint64_t streamsSent = 0;
   std::uint64_t bytesSent = 0;
   std::uint64_t bytesReceived = 0;
   std::uint64_t sendErrors = 0;
-  std::uint64_t streamsTimedOut = 0;  ///< Not through within the bound, either way.
+  std::uint64_t streamsTimedOut = 0;  ///< Inbound and outbound.
   std::map<PeerCodecError, std::uint64_t> rejected;
-  /// Bytes sent, by the place of the message in PeerFrame.
+  /// Bytes sent, indexed by message type (index in PeerFrame).
   std::array<std::uint64_t, std::variant_size_v<PeerFrame>> bytesSentByType{};
 };
 
@@ -38,20 +37,20 @@
  public:
   using FrameHandler = std::function<void(ReceivedFrame)>;
 
-  /// Binds UDP and TCP to the same endpoint; port 0 picks one.
   PeerTransport(asio::io_context& context, PeerCodec codec, FrameHandler handler);
 
-  /// @return false where a socket cannot be bound; see lastReason().
+  /// Binds UDP and TCP to the same endpoint; port 0 selects a free port.
+  /// @return false if a socket cannot be bound; see lastReason().
   bool open(const core::Endpoint& endpoint);
   const std::string& lastReason() const { return lastReason_; }
   core::Endpoint localEndpoint() const;
 
   void send(const core::Endpoint& destination, const PeerFrame& frame);
-  /// Sends one frame to several peers; it is encoded once.
+  /// Sends a frame to several peers, encoding it once.
   void send(const std::vector<core::Endpoint>& destinations, const PeerFrame& frame);
   void close();
 
-  /// Sets how long a connection may take for its frame.
+  /// Sets the maximum time to connect and transfer one frame over TCP.
   void setStreamTimeout(std::chrono::milliseconds longest) { streamTimeout_ = longest; }
 
   const PeerTransportCounters& counters() const { return counters_; }
--- a/src/net/refusal.h
+++ b/src/net/refusal.h
@@ -1,5 +1,5 @@
 /// @file
-/// Packets that tell a caller at once that a packet was refused.
+/// Builds packets that notify a client of a refused packet.
 #pragma once
 
 #include <optional>
@@ -9,13 +9,13 @@
 
 namespace cobaltgauge::net {
 
-/// Builds the answer to a refused inner packet: CoAP 5.03 with Max-Age (RFC 7252, 5.9.3.4), CoAP
+/// Builds the reply to a refused inner packet: CoAP 5.03 with Max-Age (RFC 7252, 5.9.3.4), CoAP
 /// 4.29 (RFC 8516) for a rate limit, or a TCP reset.
-/// @return nothing where the service wants no answer or the packet cannot be answered.
+/// @return nullopt if the service sends no refusals or no reply to this packet is possible.
 std::optional<Bytes> buildRefusal(const core::Refuse& refusal, std::uint16_t protocolType,
                                   ByteView packet);
 
-/// Diagnostic payloads that state what is certain.
+/// Diagnostic payloads (RFC 7252, 5.5.2): whether the request may have been executed.
 inline constexpr const char* kNotRunText = "not run";
 inline constexpr const char* kOutcomeUnknownText = "outcome unknown";
 
--- a/src/net/store_protocol.h
+++ b/src/net/store_protocol.h
@@ -1,6 +1,6 @@
 /// @file
-/// Seam between the reader of a configuration store and one store's HTTP interface. An
-/// implementation only translates.
+/// Interface between the reader of a configuration store and a store's HTTP API. Implementations
+/// only convert requests and responses.
 #pragma once
 
 #include <memory>
@@ -16,21 +16,21 @@
  public:
   virtual ~StoreProtocol() = default;
 
-  /// @return path and query of the GET that makes this read.
+  /// @return path and query of the GET request for a read.
   virtual std::string target(const core::StoreRead& read) const = 0;
 
-  /// Reads an answer that came without failure. An item that cannot be read becomes an
-  /// UnreadableItem; an answer that cannot be read as a whole has the outcome kMalformed.
+  /// Parses a response received without failure. An invalid item becomes an UnreadableItem; an
+  /// invalid response has the outcome kMalformed.
   virtual core::StoreReply parse(const HttpResult& result) const = 0;
 };
 
-/// What one surrounding platform speaks.
+/// Packet format and store protocol of a platform.
 struct PlatformFormats {
   std::unique_ptr<PacketFormat> packets;
   std::unique_ptr<StoreProtocol> store;
 };
 
-/// @return the formats of the platform that this build is for; defined in platform/.
+/// @return the formats of the platform selected at build time; defined in platform/.
 PlatformFormats makePlatformFormats();
 
 }  // namespace cobaltgauge::net
--- a/tests/net/fuzz_seeds_test.cc
+++ b/tests/net/fuzz_seeds_test.cc
@@ -1,6 +1,5 @@
 /// @file
-/// What the fuzzing of peer messages begins with has to be decoded, or it never gets further than
-/// the decoder.
+/// The seeds of the peer message fuzzer must be valid, so that fuzzing covers accepted messages.
 #include <boost/test/unit_test.hpp>
 #include <filesystem>
 #include <fstream>
--- a/tests/net/geneve_test.cc
+++ b/tests/net/geneve_test.cc
@@ -75,12 +75,12 @@
   bytes[2] = 0x12;
   BOOST_TEST((errorOf(bytes) == GeneveError::kProtocolType));
   bytes = routedPacket({});
-  bytes[10] = 0x82;  // Another type, marked critical.
+  bytes[10] = 0x82;  // Unknown critical option type.
   BOOST_TEST((errorOf(bytes) == GeneveError::kUnknownCritical));
-  bytes[10] = 0x02;  // The same, not critical.
+  bytes[10] = 0x02;  // Unknown non-critical option type.
   BOOST_TEST((errorOf(bytes) == GeneveError::kNone));
   bytes = routedPacket({});
-  bytes[11] = 0x1f;  // An option longer than the header.
+  bytes[11] = 0x1f;  // The option exceeds the header.
   BOOST_TEST((errorOf(bytes) == GeneveError::kMalformedOption));
 }
 
--- a/tests/net/http_client_test.cc
+++ b/tests/net/http_client_test.cc
@@ -12,7 +12,8 @@
 
 using namespace std::chrono_literals;
 
-/// Answers one request by a head and, at intervals, `parts` bytes of a body of `length`.
+/// Responds to one request with a header and then, at intervals, the first `parts` bytes of a body
+/// of `length` bytes.
 class SlowServer {
  public:
   SlowServer(asio::io_context& context, std::size_t length, std::size_t parts,
@@ -75,7 +76,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(HttpClientTest, ClientFixture)
 
-// A listing of 600 KB took longer than the time-out on a link of 10 Mbit/s and was begun anew.
+// Guards against aborting a large response that arrives slowly but steadily.
 BOOST_AUTO_TEST_CASE(timeout_restarts_with_each_received_part) {
   SlowServer server(context, 30, 30, 50ms);
   get(server.endpoint(), 1000ms);
@@ -93,14 +94,13 @@
   BOOST_TEST(!result->reason.empty());
 }
 
-// A kept connection that has gone silent is known only by the time-out; the next request must not
-// wait on it as well.
+// After a timeout, the next request must use a new connection.
 BOOST_AUTO_TEST_CASE(unresponsive_connection_is_replaced) {
   const asio::ip::tcp::endpoint any(asio::ip::make_address("127.0.0.1"), 0);
   asio::ip::tcp::acceptor acceptor(context, any);
   std::vector<asio::ip::tcp::socket> accepted;
   const std::string ok = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
-  // Each connection answers its first request and nothing after it.
+  // Each connection sends one response and ignores later requests.
   std::function<void()> accept = [&] {
     acceptor.async_accept([&](const asio::error_code& error, asio::ip::tcp::socket socket) {
       if (!error) {
--- a/tests/net/packed_backends_test.cc
+++ b/tests/net/packed_backends_test.cc
@@ -78,7 +78,6 @@
   BOOST_TEST(isRejected([](net::PackedBackend& item) { item.address = {1, 2, 3}; }));
 }
 
-// A page of 500 back ends, and so whatever updates carry, takes less than half of what it took.
 BOOST_AUTO_TEST_CASE(view_page_takes_at_most_50_bytes_per_backend) {
   constexpr std::size_t kBackends = 500;
   core::ViewPage page;
--- a/tests/net/packet_test.cc
+++ b/tests/net/packet_test.cc
@@ -1,4 +1,5 @@
-/// Inner packets, CoAP messages and refusals.
+/// @file
+/// Tests of inner packets, CoAP messages and refusals.
 #include <rapidcheck.h>
 #include <tins/ip.h>
 #include <tins/rawpdu.h>
--- a/tests/net/peer_transport_test.cc
+++ b/tests/net/peer_transport_test.cc
@@ -1,4 +1,5 @@
-/// Connections between daemons that open and then say nothing more.
+/// @file
+/// Tests of timeouts and counters of connections between daemons.
 #include "net/peer_transport.h"
 
 #include <array>
@@ -15,7 +16,7 @@
 
 constexpr std::chrono::milliseconds kTestStreamTimeout = 30ms;
 
-/// A message far larger than what sockets hold.
+/// A message that exceeds the socket buffers.
 core::ViewTransfer largeView() {
   core::ViewTransfer view;
   view.backends.resize(1'000'000);
@@ -33,7 +34,7 @@
     BOOST_REQUIRE(transport.open({{{127, 0, 0, 1}, false}, 0}));
   }
 
-  /// Runs until so many streams were given up.
+  /// Runs the event loop until `count` streams have timed out.
   void runUntilTimedOut(std::uint64_t count) {
     while (transport.counters().streamsTimedOut < count) {
       context.run_one();
@@ -43,7 +44,7 @@
 
 BOOST_FIXTURE_TEST_SUITE(PeerTransportTest, TransportFixture)
 
-// Without a bound the socket and the message stayed for good.
+// Guards against leaking the socket and the message of a stalled stream.
 BOOST_AUTO_TEST_CASE(stream_to_peer_that_does_not_read_times_out) {
   asio::ip::tcp::acceptor acceptor(context,
                                    asio::ip::tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
@@ -57,7 +58,7 @@
 BOOST_AUTO_TEST_CASE(incomplete_inbound_stream_times_out) {
   asio::ip::tcp::socket peer(context);
   peer.connect(net::toTcp(transport.localEndpoint()));
-  const std::array<std::uint8_t, 5> partialFrame{0, 0, 1, 0, 7};  // A length of 256 and one byte.
+  const std::array<std::uint8_t, 5> partialFrame{0, 0, 1, 0, 7};  // Length 256, then only one byte.
   asio::write(peer, asio::buffer(partialFrame));
   runUntilTimedOut(1);
   asio::error_code error;
