--- a/src/daemon/backend_prober.h
+++ b/src/daemon/backend_prober.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "core/configuration.h"
-#include "core/proof/death_trial.h"
+#include "core/probe/failure_probe.h"
 
 namespace cobaltgauge::daemon {
 
--- a/src/daemon/connect_prober.h
+++ b/src/daemon/connect_prober.h
@@ -7,7 +7,7 @@
 #include <functional>
 
 #include "core/configuration.h"
-#include "core/proof/death_trial.h"
+#include "core/probe/failure_probe.h"
 
 namespace cobaltgauge::daemon {
 
