--- a/src/core/admission.cc
+++ b/src/core/admission.cc
@@ -6,7 +6,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Share of the bucket that only the highest priority may use.
+/// Share of the bucket that is reserved for the highest priority.
 constexpr double kReservedShare = 0.5;
 
 }  // namespace
--- a/src/core/admission.h
+++ b/src/core/admission.h
@@ -1,5 +1,6 @@
 /// @file
-/// Ranked token bucket for new flows: under pressure the lowest ranks are refused first.
+/// Token bucket with priorities for new flows: when tokens run low, the lowest priorities are
+/// refused first.
 #pragma once
 
 #include <cstdint>
@@ -8,22 +9,22 @@
 
 namespace cobaltgauge::core {
 
-/// Token bucket with a reserve for important work. A flow of priority r of R ranks is admitted only
-/// while the bucket holds more than the share reserved for higher ranks.
+/// Token bucket that reserves tokens for higher priorities. A flow is admitted only while the
+/// bucket holds more than the tokens reserved for the priorities above its own.
 class AdmissionTokenBucket {
  public:
-  /// @param ratePerSecond tokens a second; zero admits everything.
+  /// @param ratePerSecond refill rate and capacity in tokens; zero disables the limit.
   explicit AdmissionTokenBucket(std::uint32_t ratePerSecond);
 
-  /// @param priority importance, 0 to kMaxPriority; larger values count as kMaxPriority.
-  /// @return true where the flow may start; takes one token.
+  /// Consumes one token if the flow is admitted.
+  /// @param priority 0 to kMaxPriority; larger values count as kMaxPriority.
+  /// @return true if the flow may start.
   bool admit(std::uint32_t priority, Time now);
 
-  /// Takes more tokens for work already admitted that turned out to cost more; as many as there
-  /// are.
+  /// Consumes additional tokens for admitted work, at most as many as are left.
   void charge(std::uint32_t tokens);
 
-  /// @return seconds until a flow of this priority could be admitted, at least one.
+  /// @return time until a flow of this priority can be admitted, at least one second.
   std::chrono::seconds retryAfter(std::uint32_t priority) const;
 
   static constexpr std::uint32_t kMaxPriority = 9;
--- a/src/core/balancer.cc
+++ b/src/core/balancer.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Control side of the Balancer: messages, configuration, membership and timed work.
+/// Control path of the Balancer: configuration, membership and periodic work.
 #include "core/balancer.h"
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 namespace cobaltgauge::core {
 namespace {
 
-constexpr std::size_t kUpdateFanout = 3;  ///< Peers told at once of a new version.
-constexpr std::size_t kFenceFanout = 2;   ///< Peers asked at once by a fenced daemon.
+constexpr std::size_t kUpdateFanout = 3;  ///< Peers probed immediately after a change.
+constexpr std::size_t kFenceFanout = 2;   ///< Peers probed at a time by a fenced daemon.
 constexpr Duration kFencePingInterval = 200ms;
 constexpr Duration kMaintenanceInterval = 10s;
-/// Flow records and departed back ends live this many flow idle times, because an owner sees only
-/// a part of a flow's packets.
+/// Lifetime of flow records and removed backends as a multiple of the flow idle timeout. An owner
+/// sees only some packets of a flow.
 constexpr int kRecordIdleFactor = 6;
 
 std::vector<MemberId> reachableMembersInZone(const MemberList& members, const std::string& zone) {
@@ -82,9 +82,9 @@
   if (accepted == nullptr || accepted->digest.version == activeVersion_) {
     return;
   }
-  // Two listing windows must not overlap, or an old flow would have two possible back ends.
+  // Listing windows must not overlap: an existing flow would have two possible backends.
   const bool listing = lastPlacementMove_ != Time{} && now - lastPlacementMove_ < kListingWindow;
-  // A fenced daemon decides nothing, so it need not wait.
+  // A fenced daemon makes no decisions and need not wait.
   if (!listing || fence_.isClosed()) {
     applyPlacements(*accepted, now);
     activeConfiguration_ = accepted;
@@ -105,7 +105,7 @@
     serviceRates_.insert_or_assign(service.id,
                                    AdmissionTokenBucket(service.limits.newFlowsPerSecond));
     const auto known = placements_.find(service.id);
-    // A daemon that has not joined has no past: what it held before means nothing to its peers.
+    // The peers do not rely on placements of a daemon that has not joined yet.
     const bool fresh =
         known == placements_.end() || membership_.selfState() == MemberState::kJoining;
     ServicePlacement placement = fresh ? ServicePlacement(service.id) : std::move(known->second);
@@ -172,8 +172,8 @@
     }
   }
   if (partitioned_ && !returned.empty()) {
-    // The other side may have a newer configuration: nothing is forwarded until one of its members
-    // has confirmed this view.
+    // The other side of the partition may have a newer configuration: forward nothing until one of
+    // its members has confirmed this view.
     fence_.closeUntilConfirmedBy(returned, now, membership_.nextSequence());
     for (const MemberId member : returned) {
       membership_.probe(member);
@@ -188,7 +188,7 @@
     return;
   }
   if (eligible_.empty()) {
-    // The first daemon of a fleet: there is no earlier flow that a home could know of.
+    // The first daemon of a fleet: no earlier flows exist.
     for (auto& [service, placement] : placements_) {
       placement.settleAll();
     }
@@ -210,7 +210,8 @@
   if (!fence_.isClosed()) {
     return;
   }
-  // Without a list of peers, silence proves nothing; with one, it more likely means a cut.
+  // Without a list of peers the daemon cannot tell whether it is the first one. If peers are listed
+  // but none is heard, a network partition is likely.
   const bool isolatedJoiner =
       membership_.selfState() == MemberState::kJoining && hasSeeds_ && lastMessageAt_ == Time{};
   const Duration wait = isolatedJoiner ? kFenceIsolatedWait : kFenceAloneWait;
--- a/src/core/balancer.h
+++ b/src/core/balancer.h
@@ -1,13 +1,12 @@
 /// @file
-/// The decision logic of one daemon, as a deterministic state machine without input or output:
-/// packets, peer messages, configurations and ticks go in; verdicts and messages come out. Time
-/// and randomness are passed in. The daemon, the simulator and the tests drive this same class.
+/// Decision logic of one daemon: a deterministic state machine without I/O. Time and randomness are
+/// passed in. Used by the daemon, the simulator and the tests.
 ///
-/// A caller has four duties:
-///  1. call onTick() every kTickInterval and before it hands over a batch of packets;
-///  2. carry out each Verdict;
-///  3. transmit what takeMessages() returns, and hand what arrives to onMessage();
-///  4. read the platform while shouldReadPlatform() holds and pass the result to
+/// The caller must:
+///  1. call onTick() every kTickInterval and before each batch of packets;
+///  2. execute each Verdict;
+///  3. transmit the messages of takeMessages() and pass received ones to onMessage();
+///  4. while shouldReadPlatform() returns true, read the platform and pass the result to
 ///     offerConfiguration() and offerMemberSeeds().
 #pragma once
 
@@ -32,30 +31,30 @@
 
 namespace cobaltgauge::core {
 
-/// What a daemon must be told at start.
+/// Start-up options of a Balancer.
 struct BalancerOptions {
   MemberIdentity self;
-  std::uint64_t process = 0;   ///< Nonce of this process.
-  std::uint64_t hashSeed = 0;  ///< Seed of flow fingerprints; equal in the whole cluster.
+  std::uint64_t process = 0;   ///< Nonce that identifies this process.
+  std::uint64_t hashSeed = 0;  ///< Seed of flow fingerprints; the same on all daemons.
   std::size_t flowTableEntries = 1U << 16U;
   Duration flowIdleTimeout = std::chrono::minutes(10);
-  std::uint32_t newFlowsPerSecond = 0;  ///< Of this daemon over all services; zero: no limit.
+  std::uint32_t newFlowsPerSecond = 0;  ///< Limit over all services; zero: no limit.
 };
 
-/// A packet that another daemon passed on.
+/// Metadata of a packet that was forwarded by another daemon.
 struct PeerArrival {
   MemberId ingress = kNoMember;  ///< The daemon that first received the packet.
-  std::uint8_t hops = 0;         ///< Hops between daemons so far, one or more.
-  bool wantsListing = false;     ///< The ingress daemon lacks the shard's recorded flows.
+  std::uint8_t hops = 0;         ///< Hops between daemons so far, at least one.
+  bool wantsListing = false;     ///< The ingress daemon has no listing of the shard.
 };
 
-/// Counters of one balancer; see docs/METRICS.md.
+/// Counters of a Balancer; see docs/METRICS.md.
 struct BalancerCounters : VerdictCounters {
   std::uint64_t suspensions = 0;
   std::uint64_t hintsSent = 0;
 };
 
-/// Why a flow goes where it goes; for operators.
+/// Explains the routing of a flow to operators.
 struct Explanation {
   std::string service;
   std::size_t bucket = 0;
@@ -75,32 +74,33 @@
   Balancer(const Balancer&) = delete;
   Balancer& operator=(const Balancer&) = delete;
 
-  /// Decides a packet from the fabric.
+  /// Decides a packet that was received from the network.
   Verdict onPacket(const PacketSummary& packet, Time now) override;
 
-  /// Decides a packet that a peer passed on.
+  /// Decides a packet that was forwarded by a peer.
   Verdict onPeerPacket(const PacketSummary& packet, const PeerArrival& arrival, Time now);
 
-  /// Handles an authenticated message of a peer.
+  /// Handles an authenticated message from a peer.
   void onMessage(MemberId from, const PeerMessage& message, Time now);
 
-  /// Does all timed work.
+  /// Runs all periodic work.
   void onTick(Time now) override;
 
   /// Offers a configuration that was read from the platform.
   OfferResult offerConfiguration(ConfigurationDocument document, Time now);
 
-  /// Offers the platform's list of machines; it may lag and is only a list of whom to contact.
+  /// Sets the daemons listed by the platform. The list may be stale; it is only used to contact
+  /// peers.
   void offerMemberSeeds(std::vector<MemberIdentity> seeds, Time now);
 
-  /// @return true where this daemon is one of its zone's readers of the platform, or on its own.
+  /// @return true if this daemon is one of its zone's readers of the platform, or hears no peer.
   bool shouldReadPlatform(Time now) const;
 
-  /// Begins a planned stop: hands shards over and goes on forwarding.
+  /// Begins a planned stop: hands over the owned shards and continues to forward.
   void beginLeaving(Time now);
-  /// @return true where every record that was handed over is acknowledged.
+  /// @return true if all handed-over records are acknowledged.
   bool handoverDone() const { return leaving_ && outbox_.unacknowledged() == 0; }
-  /// Tells the peers that this daemon is gone; the last message it sends.
+  /// Announces to the peers that this daemon has left; sends its last messages.
   void finishLeaving(Time now);
 
   std::vector<OutgoingMessage> takeMessages() { return outbox_.take(); }
@@ -110,7 +110,8 @@
   bool isFenced() const { return fence_.isClosed(); }
   const Membership& membership() const { return membership_; }
   const ConfigurationAgent& configuration() const { return agent_; }
-  /// @return the version whose placement is in force; it may trail the accepted one by a window.
+  /// @return the version whose placement is active; it may lag behind the accepted version by a
+  /// listing window.
   ConfigurationVersion activeVersion() const { return activeVersion_; }
   const BalancerCounters& counters() const { return counters_; }
   const FlowTable& flows() const { return flows_; }
@@ -119,7 +120,7 @@
   std::uint64_t recordsAbandoned() const { return outbox_.abandonedCount(); }
 
  private:
-  /// A packet under decision.
+  /// Input and lookup results of one packet decision.
   struct Context {
     const PacketSummary& packet;
     const Service& service;
@@ -136,9 +137,9 @@
   Verdict decideAsHome(const Context& context);
   Verdict decideWhileListing(const Context& context);
   Verdict decideAfterListing(const Context& context);
-  /// @return true where the shard's records are on the other side of a cut.
+  /// @return true if the shard's records may be unreachable because of a network partition.
   bool isPartitioned(const Context& context);
-  /// @return true where this replica may lack records that are on their way to the home.
+  /// @return true if this daemon is not the home and recent listings may not be replicated to it.
   bool lacksRecentRecords(const Context& context) const;
   Verdict forwardToOldBackend(const Context& context, BackendId backend);
   Verdict forwardToPeer(MemberId peer, const Context& context);
@@ -147,10 +148,11 @@
   Verdict forward(const Context& context, BackendId backend, RouteReason reason);
   Verdict count(Verdict verdict);
   void sendHint(const Context& context, const BackendAddress& backend);
-  /// Marks the buckets whose flows may be in a zone out of reach. @return true where there is one.
+  /// Marks the buckets that may have flows known only to an unreachable zone.
+  /// @return true if there are such buckets.
   static bool addPartitionedBuckets(const Context& context, ShardBitmap& dirty);
 
-  // One overload per kind of message (balancer_messages.cc).
+  // One overload per message type (balancer_messages.cc).
   void receive(MemberId from, const Ping& ping, Time now);
   void receive(MemberId from, const Ack& ack, Time now);
   void receive(MemberId from, const PingRequest& request, Time now);
@@ -161,7 +163,7 @@
   void receive(MemberId from, const RecordsAck& ack, Time now);
   void receive(MemberId from, const RouteHint& hint, Time now);
   void receive(MemberId from, const ListingRequest& request, Time now);
-  /// Sends to a member that is known; drops the message where it is not.
+  /// Sends to a known member; drops the message if the member is unknown.
   void sendTo(MemberId peer, PeerMessage message);
 
   void compareDigest(MemberId from, const ConfigurationDigest& digest);
@@ -176,7 +178,7 @@
   void joinWhenReady(Time now);
   void updateFence(Time now);
 
-  /// Address under which callers reach a service.
+  /// Address and protocol under which clients reach a service.
   struct VirtualAddress {
     Endpoint endpoint;
     Protocol protocol;
@@ -206,13 +208,13 @@
   Time lastMessageAt_{};
   Time nextFencePing_{};
   Time nextMaintenance_{};
-  bool heardFromEstablishedMember_ = false;  ///< And it was not fenced; since the fence closed.
-  bool synced_ = false;  ///< An established member has sent its whole member list.
+  bool heardFromEstablishedMember_ = false;  ///< An unfenced one, since the fence closed.
+  bool synced_ = false;  ///< An established member has sent its full member list.
   bool membershipChanged_ = false;
   std::set<MemberId> returnedMembers_;
   bool reportWhenFenceOpens_ = false;
-  bool partitioned_ = false;  ///< A whole zone cannot be reached.
-  bool hasSeeds_ = false;     ///< The platform named other daemons.
+  bool partitioned_ = false;  ///< All members of some zone are unreachable.
+  bool hasSeeds_ = false;     ///< The platform listed other daemons.
   Time seedsReceivedAt_{};
   bool leaving_ = false;
 };
--- a/src/core/balancer_messages.cc
+++ b/src/core/balancer_messages.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What the Balancer does with each message of a peer.
+/// Peer message handlers of the Balancer.
 #include "core/balancer.h"
 
 namespace cobaltgauge::core {
@@ -21,12 +21,12 @@
 void Balancer::receive(MemberId from, const Ack& ack, Time now) {
   membership_.onAck(from, ack, now);
   compareDigest(from, ack.configuration);
-  // What counts is the placement in force; an accepted version may still wait for a window.
+  // Compare with the active version; an accepted one may still wait for a listing window to end.
   const bool upToDate = ack.configuration.version <= activeVersion_;
   const bool trustworthy = !ack.fenced && membership_.isEstablished(from);
   heardFromEstablishedMember_ = heardFromEstablishedMember_ || trustworthy;
-  // Another fenced daemon or joiner knows no more than this one does, and before the whole member
-  // list is known this daemon could take itself for the owner of everything.
+  // A fenced or joining peer cannot confirm this view. Until the full member list is known, this
+  // daemon could wrongly consider itself the owner of all shards.
   if (ack.subject == from && trustworthy && upToDate && synced_) {
     fence_.onConfirmation(from, ack.sequence);
   }
--- a/src/core/balancer_routing.cc
+++ b/src/core/balancer_routing.cc
@@ -7,10 +7,10 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// When a caller should come back whose flow's records are on the other side of a cut.
+/// Retry delay of a refusal because flow records are unreachable in a network partition.
 constexpr std::chrono::seconds kPartitionRetryAfter{5};
 
-/// A back end's flow limit is enforced by each shard's home for its part of the flows.
+/// Each shard's home enforces its share of a backend's flow limit.
 std::uint32_t limitPerShard(std::uint32_t limit) {
   return static_cast<std::uint32_t>((limit + kShardCount - 1) / kShardCount);
 }
@@ -136,15 +136,15 @@
 
 Verdict Balancer::decideAfterListing(const Context& context) {
   if (isPartitioned(context)) {
-    // This may last; the caller is told at once when to come back.
+    // A partition may last: refuse with a retry delay instead of dropping the packet.
     return Refuse{context.service.refusal, RefusalCertainty::kOutcomeUnknown, RefuseReason::kCutOff,
                   kPartitionRetryAfter};
   }
   if (lacksRecentRecords(context)) {
     return Drop{DropReason::kHomeSyncing};
   }
-  // While a zone is out of reach, the flow may be one that only that zone knows. A new flow does no
-  // harm on the old back end as long as that one takes new work.
+  // While a zone is unreachable, the flow may be known only to that zone. A new flow may also use
+  // the old backend unless that backend is draining.
   const BackendId old = context.placement.partitionedBackend(context.bucket);
   const bool canBeOld = old != kNoBackend && !directory_.isLeaving(old) &&
                         context.packet.kind != PacketKind::kOpening;
@@ -158,7 +158,8 @@
 }
 
 bool Balancer::lacksRecentRecords(const Context& context) const {
-  // A replica does not get the members' reports; the home that did may be gone.
+  // A replica does not receive the members' reports, and the home that received them may have
+  // failed.
   const bool isHome = homes_.owners(context.shard).home == options_.self.id;
   return !isHome && context.placement.movedRecently(context.now);
 }
@@ -196,7 +197,7 @@
   }
   const bool limited = opening || context.placement.isTracked();
   if (!limited) {
-    return std::nullopt;  // An unknown UDP packet may belong to a flow that is long established.
+    return std::nullopt;  // An unknown UDP packet may belong to an established flow.
   }
   const std::uint32_t flowLimit = context.service.limits.flowsPerBackend;
   const std::uint32_t flows = homes_.state(context.shard).flowsOn(backend);
@@ -250,7 +251,8 @@
                       shard.unknownFlowRule(context.now) == UnknownFlowRule::kIsNew &&
                       !isPartitioned(context) && !lacksRecentRecords(context);
   if (hint.shardIsFinal) {
-    // The receiver reads these only of a final shard, and they cost a walk over its records.
+    // Only computed for a final shard: the receiver ignores them otherwise, and they require an
+    // iteration over all records.
     hint.dirty = shard.dirtyBuckets();
     const bool hasPartitionedBuckets = addPartitionedBuckets(context, hint.dirty);
     hint.shardIsListed = !hasPartitionedBuckets && context.arrival.wantsListing;
--- a/src/core/configuration.h
+++ b/src/core/configuration.h
@@ -1,6 +1,6 @@
 /// @file
-/// The checked, immutable form of one configuration version. Built by a ConfigurationCompiler and
-/// swapped whole: a reader sees the old version or the new one, never a mixture.
+/// Validated, immutable form of a configuration version. Built by a ConfigurationCompiler and
+/// replaced atomically.
 #pragma once
 
 #include <cstdint>
@@ -13,13 +13,13 @@
 
 namespace cobaltgauge::core {
 
-/// What a back end may be given.
+/// Whether a backend receives new flows.
 enum class BackendState : std::uint8_t {
-  kActive,    ///< Takes new flows by its weight.
-  kDraining,  ///< Keeps its flows, takes no new one.
+  kActive,    ///< Receives new flows according to its weight.
+  kDraining,  ///< Keeps its flows and receives no new ones.
 };
 
-/// Where a back end is and which incarnation of it; enough to forward to it.
+/// Address and incarnation of a backend.
 struct BackendAddress {
   BackendId id = kNoBackend;
   ServiceId service{0};
@@ -30,25 +30,25 @@
   bool operator==(const BackendAddress&) const = default;
 };
 
-/// One back end of a service in one configuration version.
+/// One backend of a service in one configuration version.
 struct Backend {
   BackendAddress address;
   std::string name;
   std::string zone;
   BackendState state = BackendState::kActive;
-  std::uint32_t weight = 0;  ///< Result of the policy; zero takes no new flow.
+  std::uint32_t weight = 0;  ///< Result of the policy; zero: no new flows.
 };
 
-/// How a service tells a caller that a packet was refused.
+/// How a refusal is sent to a client of a service.
 enum class RefusalForm : std::uint8_t { kNone, kCoap, kReset };
 
-/// Admission bounds of a service; zero means "no limit".
+/// Admission limits of a service; zero means no limit.
 struct ServiceLimits {
   std::uint32_t flowsPerBackend = 0;
   std::uint32_t newFlowsPerSecond = 0;  ///< Per daemon.
 };
 
-/// One service: the address callers use, its back ends and its bounds.
+/// One service: its virtual address, backends and limits.
 struct Service {
   ServiceId id{0};
   std::string name;
@@ -56,14 +56,14 @@
   Protocol protocol = Protocol::kUdp;
   RefusalForm refusal = RefusalForm::kNone;
   ServiceLimits limits;
-  /// Every flow is recorded at its home, so that a refusal can prove that nothing ran. Set where
-  /// the service has limits; costs one record per flow and one peer hop per flow and daemon.
+  /// Record every flow at its home, so that a refusal can state that the request was not run. Set
+  /// for services with limits; costs one record per flow and one peer hop per flow and daemon.
   bool tracked = false;
-  std::uint32_t priority = 0;  ///< Higher is more important; lower ranks are shed first.
+  std::uint32_t priority = 0;  ///< Lower priorities are refused first.
   std::vector<Backend> backends;
 };
 
-/// The source text of one service as it travels between daemons.
+/// Source text of one service, as exchanged between daemons.
 struct ServiceDocument {
   std::string name;
   std::string text;
@@ -78,7 +78,7 @@
   std::vector<ServiceDocument> services;
 };
 
-/// Identity of a configuration: two daemons are in agreement when both parts are equal.
+/// Identifies a configuration by version and content.
 struct ConfigurationDigest {
   ConfigurationVersion version = 0;
   std::uint64_t contentHash = 0;
@@ -95,15 +95,15 @@
 /// @return a hash over names and texts, independent of versions.
 std::uint64_t contentHashOf(const ConfigurationDocument& document);
 
-/// Turns source text into a checked configuration. Implemented outside the core (JSON and policy).
+/// Compiles and validates source text. Implemented outside the core (JSON and policy).
 class ConfigurationCompiler {
  public:
   virtual ~ConfigurationCompiler() = default;
 
-  /// @return the compiled services, or nothing when any part is invalid; see lastReason().
+  /// @return the compiled services, or std::nullopt if any part is invalid; see lastReason().
   virtual std::optional<std::vector<Service>> compile(const ConfigurationDocument& document) = 0;
 
-  /// @return why the last compile() failed: service, field or policy line, and what is allowed.
+  /// @return why the last compile() failed: service, field or policy line, and allowed values.
   virtual const std::string& lastReason() const = 0;
 };
 
--- a/src/core/configuration_agent.cc
+++ b/src/core/configuration_agent.cc
@@ -62,11 +62,11 @@
   }
   if (offered.version == digest_.version) {
     return reject(OfferResult::kConflict, "version " + std::to_string(offered.version) +
-                                              " was offered with other content; the content "
-                                              "accepted first stays; publish a higher version");
+                                              " was offered with different content; the content "
+                                              "accepted first is kept; publish a higher version");
   }
   if (offered == lastRejected_) {
-    return OfferResult::kInvalid;  // Already compiled and refused; lastReason_ still holds.
+    return OfferResult::kInvalid;  // Already compiled and rejected; lastReason_ is still valid.
   }
   std::optional<std::vector<Service>> services = compiler_.compile(document);
   if (!services) {
@@ -111,12 +111,14 @@
     const ServiceDocument* service =
         sent != transfer.changed.end() ? &*sent : findService(document_, name);
     if (service == nullptr) {
-      return reject(OfferResult::kInvalid, "transfer lacks service '" + name + "'");
+      return reject(OfferResult::kInvalid,
+                    "configuration transfer is missing service '" + name + "'");
     }
     document.services.push_back(*service);
   }
   if (contentHashOf(document) != transfer.digest.contentHash) {
-    return reject(OfferResult::kInvalid, "transfer does not add up to the peer's content");
+    return reject(OfferResult::kInvalid,
+                  "content hash of the configuration transfer does not match");
   }
   return offer(std::move(document));
 }
@@ -124,8 +126,8 @@
 bool ConfigurationAgent::isBehind(const ConfigurationDigest& peer) {
   if (peer.version == digest_.version && peer.version != 0 &&
       peer.contentHash != digest_.contentHash) {
-    reject(OfferResult::kConflict, "a peer holds version " + std::to_string(peer.version) +
-                                       " with other content; publish a higher version");
+    reject(OfferResult::kConflict, "a peer has version " + std::to_string(peer.version) +
+                                       " with different content; publish a higher version");
   }
   return peer.version > digest_.version;
 }
--- a/src/core/configuration_agent.h
+++ b/src/core/configuration_agent.h
@@ -1,6 +1,7 @@
 /// @file
-/// Holds the accepted configuration of one daemon and spreads it. Versions only rise; a version is
-/// accepted when it compiles; the same version with other content is refused and counted.
+/// Holds the accepted configuration of one daemon and exchanges it with peers. A version is
+/// accepted if it is newer and compiles. The same version with different content is rejected as a
+/// conflict.
 #pragma once
 
 #include <functional>
@@ -13,7 +14,7 @@
 
 namespace cobaltgauge::core {
 
-/// What became of an offered configuration.
+/// Result of offering a configuration.
 enum class OfferResult : std::uint8_t { kAccepted, kUnchanged, kOlder, kConflict, kInvalid };
 
 const char* toString(OfferResult result);
@@ -30,24 +31,26 @@
  public:
   explicit ConfigurationAgent(ConfigurationCompiler& compiler) : compiler_(compiler) {}
 
-  /// Offers a version from the platform or a peer.
+  /// Offers a configuration version from the platform or a peer.
   OfferResult offer(ConfigurationDocument document);
 
-  /// Answers a peer with every service that changed since its version.
+  /// @return all services that changed since the peer's version.
   ConfigurationTransfer makeTransfer(const ConfigurationRequest& request) const;
 
-  /// Rebuilds a whole document from a peer's transfer and offers it.
-  /// @return kInvalid when the transfer does not fit the version held; ask again with version 0.
+  /// Reconstructs the full document from a peer's transfer and offers it.
+  /// @return kInvalid if the transfer does not apply to the current document; request it again with
+  /// known version 0.
   OfferResult offerTransfer(const ConfigurationTransfer& transfer);
 
-  /// Notes the digest of a peer. @return true where a peer holds a version this daemon lacks.
+  /// Compares the digest of a peer with the accepted configuration and counts a conflict.
+  /// @return true if the peer has a newer version.
   bool isBehind(const ConfigurationDigest& peer);
 
   const ConfigurationDigest& digest() const { return digest_; }
   const ConfigurationDocument& document() const { return document_; }
-  /// @return the configuration in force, or null before the first one.
+  /// @return the accepted configuration, or null before the first one.
   std::shared_ptr<const Configuration> current() const { return current_; }
-  /// @return why the last offer was not accepted.
+  /// @return why the last offer was rejected.
   const std::string& lastReason() const { return lastReason_; }
   const ConfigurationCounters& counters() const { return counters_; }
 
--- a/src/core/fence.cc
+++ b/src/core/fence.cc
@@ -18,7 +18,7 @@
 void Fence::closeUntilConfirmedBy(const std::set<MemberId>& confirmers, Time now,
                                   std::uint64_t firstSequence) {
   if (closed_ && confirmers_.empty()) {
-    return;  // Closed for a stronger reason.
+    return;  // Already closed, and any member may confirm.
   }
   close(now, firstSequence);
   confirmers_ = confirmers;
--- a/src/core/fence.h
+++ b/src/core/fence.h
@@ -1,7 +1,7 @@
 /// @file
-/// Keeps a daemon from forwarding by a view that may be stale: after it starts, and after the
-/// process was suspended. The fence opens when a live peer confirms the view, or after a bounded
-/// wait when no peer answers.
+/// Stops a daemon from forwarding while its view may be stale: after start-up and after the process
+/// was suspended. The fence opens when a peer confirms the view, or after a timeout if no peer
+/// answers.
 #pragma once
 
 #include <cstdint>
@@ -13,28 +13,29 @@
 
 class Fence {
  public:
-  /// Starts closed: a daemon that joins has no view at all.
+  /// Starts closed: a joining daemon has no view.
   Fence() = default;
 
-  /// @return true where the time since the last tick shows that the process was suspended.
+  /// @return true if the time since the last tick indicates that the process was suspended.
   bool detectsSuspension(Time now) const;
 
-  /// Notes a control tick.
+  /// Updates the time of the last tick.
   void onTick(Time now) { lastTick_ = now; }
 
-  /// Closes the fence. Only answers to probes with this sequence or a later one open it: answers
-  /// that waited in a socket buffer prove nothing.
+  /// Closes the fence. Acks with a lower sequence number do not open it, because they may have been
+  /// buffered before the suspension.
   void close(Time now, std::uint64_t firstSequence);
 
-  /// Closes the fence for a short time after a cut healed: only these members can confirm the view.
+  /// Closes the fence for a short time after a network partition has ended: only these members can
+  /// confirm the view.
   void closeUntilConfirmedBy(const std::set<MemberId>& confirmers, Time now,
                              std::uint64_t firstSequence);
 
-  /// A peer answered a probe, and this daemon is not behind the peer's configuration.
+  /// Call when a peer acknowledged a probe and its configuration is not newer than the active one.
   void onConfirmation(MemberId from, std::uint64_t sequence);
 
-  /// Opens the fence after the bounded wait, counted from close().
-  /// @param heardFromPeer true where an established peer was heard since, or may exist unheard.
+  /// Opens the fence if the timeout since close() has passed.
+  /// @param heardFromPeer true if an established peer was heard since then, or one may exist.
   void openAfterTimeout(Time now, bool heardFromPeer);
 
   bool isClosed() const { return closed_; }
--- a/src/core/flow_table.h
+++ b/src/core/flow_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// Bounded table of learned flows. Fixed memory, no allocation after construction.
+/// Table of learned flows with a fixed capacity. Allocates only in the constructor.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace cobaltgauge::core {
 
-/// One learned flow; 24 bytes, so two million flows at half load take 96 MB.
+/// One learned flow, 24 bytes.
 struct FlowEntry {
   FlowFingerprint fingerprint{0};  ///< Zero marks a free slot.
   BackendId backend = kNoBackend;
@@ -19,24 +19,24 @@
   std::uint32_t lastSeenSeconds = 0;
 };
 
-/// Eight-way set-associative table: a full set replaces its entry that was idle the longest.
-/// A lookup touches one set of 192 bytes, which is three cache lines on the packet path.
+/// Eight-way set-associative table. A full set evicts its least recently seen entry. A lookup reads
+/// one set of 192 bytes (three cache lines).
 class FlowTable {
  public:
-  /// @param capacity number of entries, rounded up to a power of two of at least eight.
+  /// @param capacity number of entries, rounded up to a power of two, at least eight.
   /// @param idleTimeout entries not seen for this long count as free.
   FlowTable(std::size_t capacity, Duration idleTimeout);
 
-  /// Finds a flow and marks it as seen now.
+  /// @return the backend of a flow; updates the time it was last seen.
   std::optional<BackendId> touch(FlowFingerprint fingerprint, Time now);
 
-  /// @return the back end of a flow without marking it as seen.
+  /// @return the backend of a flow, without updating the time it was last seen.
   std::optional<BackendId> peek(FlowFingerprint fingerprint, Time now) const;
 
-  /// Learns or overwrites a flow.
+  /// Inserts or replaces a flow.
   void learn(FlowFingerprint fingerprint, ServiceId service, BackendId backend, Time now);
 
-  /// Forgets every flow of a back end, for instance because its address was given away.
+  /// Removes all flows of a backend, for example because its address was reassigned.
   void removeBackend(BackendId backend);
 
   /// Calls `visit` for each live entry.
--- a/src/core/gossip_queue.cc
+++ b/src/core/gossip_queue.cc
@@ -6,9 +6,8 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Least number of times that an update is sent. Each member that learns an update sends it once
-/// per doubling of the fleet or this often; at 750 members fewer than one update in 30 then misses
-/// a member, which the comparison of views repairs.
+/// Minimum number of transmissions per update. Updates that miss a member are repaired by the
+/// comparison of view hashes.
 constexpr std::size_t kMinSends = 9;
 
 }  // namespace
--- a/src/core/gossip_queue.h
+++ b/src/core/gossip_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// Membership updates waiting to be piggybacked on probe traffic, least-sent first
+/// Queue of membership updates to piggyback on probe messages, least often sent first
 /// (SWIM, Das et al. 2002, section 4.1).
 #pragma once
 
@@ -13,10 +13,10 @@
 
 class GossipQueue {
  public:
-  /// Queues an update; an earlier one about the same member is replaced.
+  /// Queues an update; replaces an earlier one for the same member.
   void add(const MemberUpdate& update);
 
-  /// Picks updates for one message and counts the transmission.
+  /// Selects the updates for one message and counts their transmission.
   /// @param memberCount size of the fleet; each update is sent O(log memberCount) times.
   std::vector<MemberUpdate> pick(std::size_t limit, std::size_t memberCount);
 
--- a/src/core/hashing.cc
+++ b/src/core/hashing.cc
@@ -59,7 +59,7 @@
 }
 
 std::size_t bucketOf(FlowFingerprint fingerprint) {
-  // The lowest bit is always set, so the bucket is taken from the high bits.
+  // Uses the high bits because the lowest bit is always set.
   return static_cast<std::size_t>(static_cast<std::uint64_t>(fingerprint) >> 32U) % kBucketCount;
 }
 
--- a/src/core/hashing.h
+++ b/src/core/hashing.h
@@ -1,6 +1,5 @@
 /// @file
-/// The core's hash functions, all xxHash (XXH3/XXH64), so that every daemon derives equal
-/// identities.
+/// Hash functions of the core (XXH3). Every daemon derives the same identifiers.
 #pragma once
 
 #include <cstdint>
@@ -10,29 +9,29 @@
 
 namespace cobaltgauge::core {
 
-/// Hashes a name to 64 bits; used for identities that all daemons must derive alike.
+/// Hashes a name to 64 bits; used for identifiers that must be the same on all daemons.
 std::uint64_t hashName(std::string_view name);
 
-/// Mixes two 64-bit values; the basis of rendezvous hashing.
+/// Combines two 64-bit values into one hash; used for rendezvous hashing.
 std::uint64_t mixHash(std::uint64_t left, std::uint64_t right);
 
-/// @return the identity of the service with this name.
+/// @return the identifier of the service with this name.
 ServiceId serviceIdOf(std::string_view serviceName);
 
-/// @return the identity of the region with this name.
+/// @return the identifier of the region with this name.
 RegionId regionIdOf(std::string_view regionName);
 
-/// @return the identity of the zone with this name.
+/// @return the identifier of the zone with this name.
 ZoneId zoneIdOf(std::string_view zoneName);
 
-/// @return the identity of the daemon with this name.
+/// @return the identifier of the daemon with this name.
 MemberId memberIdOf(std::string_view memberName);
 
-/// @return the identity of one incarnation of a back end of one service.
+/// @return the identifier of one incarnation of a backend of a service.
 BackendId backendIdOf(ServiceId service, const Endpoint& endpoint, std::uint32_t incarnation);
 
-/// Hashes a flow key with the cluster's seed, so that outsiders cannot aim flows at one bucket.
-/// The destination is part of the key: flows of two services never share a fingerprint by design.
+/// Hashes a flow key with the cluster's seed, so that clients cannot choose flows that map to one
+/// bucket. The key includes the destination, so that two services have no flow key in common.
 FlowFingerprint fingerprintOf(const FlowKey& flow, std::uint64_t seed);
 
 /// @return the bucket index in [0, kBucketCount) of a flow within its service.
--- a/src/core/home_selector.h
+++ b/src/core/home_selector.h
@@ -1,6 +1,6 @@
 /// @file
-/// Chooses, by rendezvous hashing (Thaler and Ravishankar, 1998), the daemon that decides unknown
-/// flows of a shard (its home) and the daemon that holds a copy of its records (the replica).
+/// Selects the owners of a shard by rendezvous hashing (Thaler and Ravishankar, 1998): the home,
+/// which decides unknown flows, and the replica, which holds a copy of the home's records.
 #pragma once
 
 #include <vector>
@@ -9,7 +9,7 @@
 
 namespace cobaltgauge::core {
 
-/// Identity of one shard of one service.
+/// Identifies one shard of one service.
 struct ShardKey {
   ServiceId service{0};
   std::uint16_t shard = 0;
@@ -17,7 +17,7 @@
   auto operator<=>(const ShardKey&) const = default;
 };
 
-/// Home and replica of a shard; kNoMember where the fleet is too small.
+/// Home and replica of a shard; kNoMember if the fleet is too small.
 struct ShardOwners {
   MemberId home = kNoMember;
   MemberId replica = kNoMember;
@@ -25,16 +25,17 @@
   bool operator==(const ShardOwners&) const = default;
 };
 
-/// The two best daemons of a shard with their hashes, so that a daemon that joins is compared with
-/// two others instead of the whole fleet.
+/// The two highest-scored daemons of a shard with their scores, so that a joining daemon need not
+/// be compared with the whole fleet.
 class OwnerRanking {
  public:
   explicit OwnerRanking(const ShardKey& key);
 
-  /// Takes one more daemon into account.
+  /// Adds a candidate.
   void add(MemberId member);
   const ShardOwners& owners() const { return owners_; }
-  /// @return true where the daemon is home or replica, so that its loss needs a new ranking.
+  /// @return true if the daemon is the home or the replica; the ranking must be rebuilt if it
+  /// fails.
   bool isOwner(MemberId member) const {
     return member == owners_.home || member == owners_.replica;
   }
@@ -47,10 +48,10 @@
 };
 
 /// @param eligible the daemons that may own a shard.
-/// @return the ranking of a shard over all of them.
+/// @return the ranking of a shard over all eligible daemons.
 OwnerRanking rankOwners(const ShardKey& key, const std::vector<MemberId>& eligible);
 
-/// @return true where `member` is among the `count` highest of `eligible` for the key.
+/// @return true if `member` has one of the `count` highest scores of `eligible` for the key.
 bool isAmongTopRanked(std::uint64_t key, MemberId member, const std::vector<MemberId>& eligible,
                       std::size_t count);
 
--- a/src/core/maglev_table.cc
+++ b/src/core/maglev_table.cc
@@ -8,8 +8,8 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Walks one back end's permutation of the buckets. The table size is a power of two, so any odd
-/// step visits every bucket (the paper uses a prime size for the same purpose).
+/// Iterates over one backend's permutation of the buckets. The table size is a power of two, so any
+/// odd skip visits every bucket; the paper uses a prime table size instead.
 class Permutation {
  public:
   explicit Permutation(const WeightedBackend& backend)
@@ -27,7 +27,7 @@
     table[position_] = backend_;
   }
 
-  /// Collects credit for one round; a back end claims a bucket for every full unit of credit.
+  /// Adds one round's credit. @return true if the backend may claim a bucket in this round.
   bool addCredit(std::uint32_t largestWeight) {
     credit_ += weight_;
     if (credit_ < largestWeight) {
--- a/src/core/maglev_table.h
+++ b/src/core/maglev_table.h
@@ -1,7 +1,7 @@
 /// @file
 /// Weighted Maglev lookup table (Eisenbud et al., "Maglev: A Fast and Reliable Software Network
-/// Load Balancer", NSDI 2016, section 3.4). The table is a pure function of its input, so daemons
-/// that hold the same configuration agree on it without exchanging it.
+/// Load Balancer", NSDI 2016, section 3.4). The table depends only on its input, so daemons
+/// with the same configuration build the same table.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +11,15 @@
 
 namespace cobaltgauge::core {
 
-/// One back end that takes new flows, with its share.
+/// One backend that receives new flows, with its weight.
 struct WeightedBackend {
   BackendId id = kNoBackend;
-  std::uint32_t weight = 0;  ///< Relative share; zero takes no bucket.
+  std::uint32_t weight = 0;  ///< Relative share; zero: no bucket.
 };
 
 /// Builds a table of kBucketCount entries.
-/// @param backends in any order; the result does not depend on the order.
-/// @return the back end of each bucket; all kNoBackend where no back end has weight.
+/// @param backends in any order; the order does not affect the result.
+/// @return the backend of each bucket; all kNoBackend if every weight is zero.
 std::vector<BackendId> buildMaglevTable(std::vector<WeightedBackend> backends);
 
 }  // namespace cobaltgauge::core
--- a/src/core/member_list.cc
+++ b/src/core/member_list.cc
@@ -9,7 +9,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// So many members of one zone must be dead before a cut is likelier than their failures.
+/// Minimum number of dead members of a zone for a network partition to be assumed.
 constexpr std::size_t kMinDeadMembersOfLostZone = 2;
 
 bool supersedes(const MemberUpdate& update, const Member& known) {
--- a/src/core/member_list.h
+++ b/src/core/member_list.h
@@ -1,6 +1,6 @@
 /// @file
-/// What one daemon believes about its peers, and the order in which beliefs replace each other.
-/// Holds state only; probing and gossip are in membership.h.
+/// Member states as known to one daemon, and the precedence of updates. Probing and gossip are in
+/// membership.h.
 #pragma once
 
 #include <map>
@@ -13,61 +13,61 @@
 
 namespace cobaltgauge::core {
 
-/// One peer as this daemon sees it.
+/// One known member.
 struct Member {
   MemberIdentity identity;
   MemberState state = MemberState::kJoining;
   std::uint32_t incarnation = 0;
   std::uint64_t process = 0;
-  bool leaving = false;  ///< Announced a planned stop; stays set when it is suspected later.
-  Time stateSince{};     ///< When the present state was learned.
+  bool leaving = false;  ///< Announced a planned stop; stays set if it is suspected later.
+  Time stateSince{};     ///< When the current state was learned.
 };
 
-/// What one accepted update changed.
+/// Change caused by one accepted update.
 struct MemberChange {
   MemberId id = kNoMember;
   MemberState before = MemberState::kDead;
   MemberState after = MemberState::kDead;
   bool isNew = false;
-  bool restarted = false;  ///< Another process under the same name.
+  bool restarted = false;  ///< A different process with the same name.
 };
 
-/// @return true where a member in this state can receive packets and messages.
+/// @return true if a member in this state can receive packets and messages.
 bool isReachable(MemberState state);
 
 class MemberList {
  public:
-  /// Merges one update by (incarnation, state).
-  /// @return the change, or nothing when the update is not newer than what is known.
+  /// Merges an update; the higher (incarnation, state) wins.
+  /// @return the change, or std::nullopt if the update is not newer than the known state.
   std::optional<MemberChange> merge(const MemberUpdate& update, Time now);
 
   const Member* find(MemberId id) const;
-  /// Every member known, by id.
+  /// @return all known members by id, including this daemon.
   const std::map<MemberId, Member>& all() const { return members_; }
 
-  /// @return members that may own shards: alive or suspect, and not leaving.
+  /// @return the members that may own shards: alive or suspect, and not leaving.
   std::vector<MemberId> eligible() const;
 
-  /// @return ids of members that can be reached, this daemon excluded.
+  /// @return the reachable members, including this daemon.
   std::vector<MemberId> reachable() const;
 
-  /// @return true where every member of some other zone is dead: a cut is more likely than so many
-  /// failures at once.
+  /// @return true if all members of another zone, and at least two, are dead: a network partition
+  /// is more likely than simultaneous failures.
   bool hasUnreachableZone(const std::string& ownZone) const;
 
-  /// @return true where more members are dead than reachable: this daemon is likely on the smaller
-  /// side of a cut.
+  /// @return true if more members are dead than reachable: this daemon is probably on the minority
+  /// side of a network partition.
   bool hasLostMajority() const;
 
   std::size_t suspectCount() const { return suspects_; }
 
-  /// @return a hash over the reachable members; equal where two daemons know the same ones.
+  /// @return a hash over the reachable members, their incarnations and states.
   std::uint64_t viewHash() const { return viewHash_; }
 
-  /// Moves the time of every state change forward, after this process was suspended.
+  /// Resets the time of every state change to `now`, after this process was suspended.
   void resetStateTimes(Time now);
 
-  /// Forgets members that have been dead or gone for longer than kDeadMemberMemory.
+  /// Removes members that have been dead or left for longer than kDeadMemberMemory.
   void removeExpired(Time now);
 
   static MemberUpdate toUpdate(const Member& member);
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -10,17 +10,17 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Every n-th probe leaves the zone; the others stay in it.
+/// One in this many probes targets another zone.
 constexpr std::uint64_t kRemoteProbePeriod = 4;
-/// How often one member that should exist but cannot be seen is contacted.
+/// Interval between attempts to contact dead members and unknown seeds.
 constexpr Duration kReconnectInterval = 1000ms;
-/// The same while a whole zone is lost: the end of a cut must be noticed before its flows arrive.
+/// The same while a whole zone is unreachable, so that the end of a network partition is detected
+/// before flows of that zone arrive.
 constexpr Duration kLostZoneReconnectInterval = 100ms;
-/// Daemons per zone that watch for the end of a cut.
+/// Daemons per zone that use the shorter interval.
 constexpr std::size_t kReconnectorsPerZone = 2;
-/// How often dead members are looked through for ones to forget.
 constexpr Duration kMemberExpiryInterval = 10s;
-/// A member that was heard itself this recently is not believed to be dead on hearsay.
+/// Gossip that reports a member as dead is ignored for this long after direct contact with it.
 constexpr Duration kRecentContactTime = 1000ms;
 
 void shuffle(std::vector<MemberId>& ids, Random& random) {
@@ -88,7 +88,7 @@
   }
   const Member* member = list_.find(update.identity.id);
   if (member != nullptr && isReachable(member->state)) {
-    // Tells the member what is said of it, so that it refutes it.
+    // Forward the update to the member, so that it can refute it.
     outbox_.send(update.identity.id, member->identity.control,
                  Ping{nextSequence_++, list_.viewHash(), digest(), {selfUpdate(), update}});
   }
@@ -110,7 +110,7 @@
   const Member* member = list_.find(receiver);
   if (member != nullptr &&
       (!isReachable(member->state) || member->state == MemberState::kSuspect)) {
-    // The receiver must learn at once what is said of it, so that it can refute.
+    // Include the receiver's own state, so that it can refute it.
     updates.push_back(MemberList::toUpdate(*member));
   }
   for (MemberUpdate& update : gossip_.pick(kMaxUpdatesPerMessage, list_.all().size())) {
@@ -308,7 +308,7 @@
   if (viewHash == list_.viewHash() || now < nextSync_) {
     return;
   }
-  // Gossip may still be on its way; only a difference that lasts costs a whole list.
+  // Gossip may still be propagating; exchange full lists only if the difference persists.
   if (viewDiffersSince_ == Time{}) {
     viewDiffersSince_ = now;
   }
@@ -371,7 +371,7 @@
 }
 
 void Membership::onMemberSync(MemberId from, const MemberSync& sync, Time now) {
-  // Only the sender itself is news; the rest of its list has been gossiped by those it came from.
+  // Gossip only the sender's own entry; the other entries have been gossiped already.
   applyUpdates(sync.members, now, from);
   const Member* sender = list_.find(from);
   if (sync.wantsReply && sender != nullptr) {
--- a/src/core/membership.h
+++ b/src/core/membership.h
@@ -1,8 +1,8 @@
 /// @file
-/// Failure detection and membership gossip after SWIM (Das, Gupta, Motivala, "SWIM: Scalable
-/// Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002). Probe targets
-/// are mostly in the own zone, so the cost of a daemon is constant in the size of the fleet and
-/// little of it crosses zones.
+/// Failure detection and membership gossip based on SWIM (Das, Gupta, Motivala, "SWIM: Scalable
+/// Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002). Most probes
+/// stay in the daemon's own zone, to limit traffic between zones. The probe load of a daemon does
+/// not depend on the size of the fleet.
 #pragma once
 
 #include <functional>
@@ -24,15 +24,15 @@
   using DigestSource = std::function<ConfigurationDigest()>;
   using FenceSource = std::function<bool()>;
 
-  /// @param process nonce of this process; another one than that of any earlier process.
+  /// @param process nonce of this process; must differ from earlier processes of the same name.
   Membership(MemberIdentity self, std::uint64_t process, Random& random, Outbox& outbox);
 
-  /// Registers what to call after each accepted change of a peer or of this daemon.
+  /// Sets the callback for each accepted change of a member, including this daemon.
   void setListener(ChangeListener listener) { listener_ = std::move(listener); }
-  /// Registers where the digest on probe traffic comes from.
+  /// Sets the source of the configuration digest that probe messages carry.
   void setDigestSource(DigestSource source) { digest_ = std::move(source); }
 
-  /// Registers how to learn whether this daemon's own view may be stale.
+  /// Sets the source of the fenced flag that Acks carry.
   void setFenceSource(FenceSource source) { fenced_ = std::move(source); }
 
   void onTick(Time now);
@@ -41,33 +41,33 @@
   void onPingRequest(MemberId from, const PingRequest& request, Time now);
   void onMemberSync(MemberId from, const MemberSync& sync, Time now);
 
-  /// Names daemons that may exist, from the platform's lagging list or the settings. They are
-  /// contacted, never believed.
+  /// Sets daemons that may exist, from the platform or the settings. They are only contacted, not
+  /// added to the member list.
   void setSeeds(std::vector<MemberIdentity> seeds) { seeds_ = std::move(seeds); }
 
-  /// Announces this daemon's own state: kAlive when ready, kLeaving and kLeft at a planned stop.
+  /// Announces a new state of this daemon: kAlive when ready, kLeaving and kLeft at a planned stop.
   void announce(MemberState state, Time now);
 
-  /// Call after this process was suspended: timers that ran out meanwhile mean nothing.
+  /// Restarts all timers after this process was suspended.
   void onResume(Time now);
 
-  /// Asks a random established member for its whole member list; a joiner that knows only other
-  /// joiners asks one of those.
+  /// Requests the full member list from a random established member, or from a joining member if no
+  /// established one is known.
   void requestSync();
 
-  /// @return true where this member has finished joining.
+  /// @return true if the member is reachable and has finished joining.
   bool isEstablished(MemberId member) const;
 
-  /// Sends a Ping to one member at once.
+  /// Sends a Ping to one member immediately.
   void probe(MemberId member);
 
-  /// Sends a Ping to up to `count` random reachable peers at once.
+  /// Sends a Ping to up to `count` random reachable peers immediately.
   void probeRandomPeers(std::size_t count);
 
   const MemberList& members() const { return list_; }
   const MemberIdentity& self() const { return self_; }
   MemberState selfState() const;
-  /// @return the sequence number that the next Ping will carry.
+  /// @return the sequence number of the next Ping.
   std::uint64_t nextSequence() const { return nextSequence_; }
 
  private:
@@ -77,7 +77,7 @@
     Time sentAt{};
     bool indirectSent = false;
   };
-  /// An indirect probe made for another daemon.
+  /// A probe sent on behalf of another daemon.
   struct IndirectProbe {
     std::uint64_t sequence = 0;
     MemberId requester = kNoMember;
@@ -86,9 +86,9 @@
     Time sentAt{};
   };
 
-  /// @param propagate true where peers may not have heard of it.
+  /// @param propagate whether to gossip the update to peers.
   void applyUpdate(const MemberUpdate& update, Time now, bool propagate = true);
-  /// @param propagateOnly the one member whose update is passed on; all of them where absent.
+  /// @param propagateOnly if set, only the update of this member is gossiped.
   void applyUpdates(const std::vector<MemberUpdate>& updates, Time now,
                     std::optional<MemberId> propagateOnly = std::nullopt);
   bool contradictsRecentContact(const MemberUpdate& update, Time now);
@@ -98,7 +98,8 @@
   void expireSuspects(Time now);
   void contactUnreachable(Time now);
   void suspect(MemberId id, Time now);
-  /// Asks a peer for its list where the two have known other members for a while.
+  /// Exchanges full member lists with a peer if the view hashes have differed for
+  /// kMemberSyncInterval.
   void compareView(MemberId peer, std::uint64_t viewHash, Time now);
   std::optional<MemberId> nextTarget();
   std::vector<MemberId> peersInScope(bool sameZone) const;
@@ -119,7 +120,7 @@
   std::vector<MemberIdentity> seeds_;
   std::optional<Probe> probe_;
   std::vector<IndirectProbe> indirectProbes_;
-  std::map<MemberId, Time> lastContact_;  ///< When a member was last heard itself.
+  std::map<MemberId, Time> lastContact_;  ///< When a member was last heard directly.
   std::vector<MemberId> zoneRound_;
   std::vector<MemberId> remoteRound_;
   std::uint64_t probeCount_ = 0;
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// Typed messages between daemons. The wire form lives in net/peer_codec.h.
+/// Typed messages between daemons. The wire format is in net/peer_codec.h.
 #pragma once
 
 #include <cstdint>
@@ -16,37 +16,37 @@
 
 namespace cobaltgauge::core {
 
-/// Life of a member as its peers see it; higher values win at equal incarnation.
+/// State of a member; at equal incarnation the higher value takes precedence.
 enum class MemberState : std::uint8_t {
-  kJoining,  ///< Reachable, not yet able to own shards.
-  kAlive,    ///< Full member.
-  kLeaving,  ///< Planned stop: still forwards, owns nothing.
-  kSuspect,  ///< Did not answer probes; may refute with a higher incarnation.
-  kDead,     ///< Suspicion ran out.
-  kLeft,     ///< Ended as planned.
+  kJoining,  ///< Reachable; may not own shards yet.
+  kAlive,    ///< Full member; may own shards.
+  kLeaving,  ///< Planned stop: still forwards, owns no shards.
+  kSuspect,  ///< Did not answer probes; can refute with a higher incarnation.
+  kDead,     ///< The suspicion timeout expired.
+  kLeft,     ///< Completed a planned stop.
 };
 
-/// Who a member is; fixed for the life of its process.
+/// Identity of a member; fixed for the lifetime of its process.
 struct MemberIdentity {
   MemberId id = kNoMember;
   std::string name;
   std::string zone;
   std::string region;
-  Endpoint control;  ///< Where the member listens for peer messages (UDP and TCP).
+  Endpoint control;  ///< Listens for peer messages (UDP and TCP).
 
   bool operator==(const MemberIdentity&) const = default;
 };
 
-/// One item of membership gossip.
+/// One membership update.
 struct MemberUpdate {
   MemberIdentity identity;
   MemberState state = MemberState::kJoining;
   std::uint32_t incarnation = 0;
-  /// Nonce of the process; a restarted daemon of the same name has another one.
+  /// Nonce of the process; changes when a daemon restarts.
   std::uint64_t process = 0;
 };
 
-/// Probe of SWIM. `target` differs from the receiver when an indirect probe is asked for.
+/// SWIM probe.
 struct Ping {
   std::uint64_t sequence = 0;
   std::uint64_t viewHash = 0;  ///< Hash over the reachable members the sender knows.
@@ -54,29 +54,29 @@
   std::vector<MemberUpdate> updates;
 };
 
-/// Answer to a Ping, or to an indirect probe on behalf of `subject`.
+/// Response to a Ping; `subject` is the member that answered a direct or indirect probe.
 struct Ack {
   std::uint64_t sequence = 0;
   MemberId subject = kNoMember;
-  bool fenced = false;         ///< The sender's own view may be stale; it confirms nobody else's.
+  bool fenced = false;         ///< The sender's view may be stale and cannot confirm another view.
   std::uint64_t viewHash = 0;  ///< Hash over the reachable members the sender knows.
   ConfigurationDigest configuration;
   std::vector<MemberUpdate> updates;
 };
 
-/// Asks the receiver to probe `target` and to pass its answer on.
+/// Requests an indirect probe of `target`.
 struct PingRequest {
   std::uint64_t sequence = 0;
   MemberUpdate target;
 };
 
-/// Whole member list; sent on join and now and then to repair lost gossip.
+/// Full member list; sent on join and to repair lost gossip.
 struct MemberSync {
   bool wantsReply = false;
   std::vector<MemberUpdate> members;
 };
 
-/// Asks a peer for everything that changed since a version.
+/// Requests all services that changed since a version.
 struct ConfigurationRequest {
   ConfigurationVersion knownVersion = 0;
 };
@@ -89,7 +89,7 @@
   std::vector<std::string> allNames;
 };
 
-/// One flow that does not follow the current placement of its bucket.
+/// Backend of one flow that does not follow the current placement of its bucket.
 struct FlowRecord {
   FlowFingerprint fingerprint{0};
   BackendId backend = kNoBackend;
@@ -97,29 +97,30 @@
 
 /// Why flow records are sent.
 enum class RecordPurpose : std::uint8_t {
-  kListing,      ///< Ingress daemon to home: the old flows it knows in moved buckets.
-  kFullListing,  ///< Ingress daemon to home: all flows it knows that need a record.
+  kListing,      ///< Ingress daemon to home: known flows in moved buckets that need a record.
+  kFullListing,  ///< Ingress daemon to home: all known flows that need a record.
   kReplica,      ///< One owner to the other: new records.
-  kReplicaCopy,  ///< Home to replica: all its records.
-  kHandover,     ///< Former home to new home: all its records.
+  kReplicaCopy,  ///< Home to replica: all records.
+  kHandover,     ///< Former home to new home: all records.
 };
 
-/// One batch of a transfer of flow records of one shard. Reliable: resent until a RecordsAck
-/// arrives. Batches may arrive in any order; a transfer is complete when all of them did.
+/// One batch of a transfer of flow records of one shard. Sent reliably: retransmitted until a
+/// RecordsAck arrives. Batches may arrive in any order; a transfer is complete when all batches
+/// have arrived.
 struct RecordsMessage {
   std::uint64_t id = 0;
   std::uint64_t transfer = 0;    ///< Unique per sender.
   std::uint32_t batchCount = 1;  ///< Batches of this transfer.
   RecordPurpose purpose = RecordPurpose::kListing;
   ShardKey shard;
-  ConfigurationVersion version = 0;  ///< Placement version that the sender has applied.
-  bool authoritative = false;        ///< The sender's records were complete (copy and handover).
-  std::uint32_t windowMs = 0;        ///< Time left of the sender's listing window (handover).
-  std::vector<BackendAddress> backends;  ///< Addresses of the back ends named in `records`.
+  ConfigurationVersion version = 0;      ///< Active placement version of the sender.
+  bool authoritative = false;            ///< The sender's records are complete (copy, handover).
+  std::uint32_t windowMs = 0;            ///< Remaining listing window of the sender (handover).
+  std::vector<BackendAddress> backends;  ///< Addresses of the backends in `records`.
   std::vector<FlowRecord> records;
 };
 
-/// A home without complete records asks a member for all flows it knows that need one.
+/// Sent by a home without complete records: requests all known flows of these shards that need one.
 struct ListingRequest {
   std::vector<ShardKey> shards;
 };
@@ -129,17 +130,16 @@
   std::uint64_t id = 0;
 };
 
-/// A home's answer to a daemon that passed it a packet: where the flow lives, and which buckets of
-/// the shard need no home any more.
+/// Sent by an owner to the ingress daemon that forwarded it a packet: the backend of the flow, and
+/// which buckets of the shard no longer need to be resolved by the home.
 struct RouteHint {
   FlowFingerprint fingerprint{0};
   BackendAddress backend;
   ShardKey shard;
   ConfigurationVersion version = 0;
-  bool shardIsFinal = false;  ///< False while the home's listing window is open.
+  bool shardIsFinal = false;  ///< False while unknown flows may still be old ones.
   ShardBitmap dirty{};
-  /// All recorded flows of the shard, where the ingress daemon asked for them and no others can
-  /// exist.
+  /// True if `listing` has all recorded flows of the shard; sent on request once it is complete.
   bool shardIsListed = false;
   ShardListing listing;
 };
@@ -148,7 +148,7 @@
     std::variant<Ping, Ack, PingRequest, MemberSync, ConfigurationRequest, ConfigurationTransfer,
                  RecordsMessage, RecordsAck, RouteHint, ListingRequest>;
 
-/// @return a name for the kind of message, for metrics and reports.
+/// @return the name of the message type, for metrics and reports.
 inline const char* kindName(const PeerMessage& message) {
   constexpr const char* kNames[] = {"ping",
                                     "ack",
@@ -164,7 +164,7 @@
   return kNames[message.index()];
 }
 
-/// A message on its way to a peer.
+/// A message to send to a peer.
 struct OutgoingMessage {
   MemberId to = kNoMember;
   Endpoint destination;
--- a/src/core/outbox.h
+++ b/src/core/outbox.h
@@ -1,6 +1,6 @@
 /// @file
-/// Collects the messages that the core wants to send. Messages marked reliable are resent until
-/// their acknowledgement arrives or the give-up time passes.
+/// Queue of outgoing messages. Reliable messages are retransmitted until they are acknowledged or
+/// kResendGiveUp has passed.
 #pragma once
 
 #include <cstdint>
@@ -14,18 +14,18 @@
 
 class Outbox {
  public:
-  /// Sends once; loss is repaired by the protocol above.
+  /// Sends a message once; the protocol tolerates its loss.
   void send(MemberId to, const Endpoint& destination, PeerMessage message);
 
-  /// Sends a batch of records until it is acknowledged. Assigns the message's id.
+  /// Sends a batch of records until it is acknowledged. Assigns the message id.
   void sendReliably(MemberId to, const Endpoint& destination, RecordsMessage message, Time now);
 
   void onAck(const RecordsAck& ack);
 
-  /// Resends what is due and gives up what is too old.
+  /// Retransmits due messages and abandons expired ones.
   void onTick(Time now);
 
-  /// @return all messages to send, in order; the caller transmits them.
+  /// @return all queued messages in order, and empties the queue.
   std::vector<OutgoingMessage> take();
 
   std::size_t unacknowledged() const { return pending_.size(); }
--- a/src/core/record_transfers.cc
+++ b/src/core/record_transfers.cc
@@ -7,7 +7,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// A transfer is remembered longer than its sender can resend it.
+/// Longer than a sender can retransmit a batch.
 constexpr Duration kTransferRetention = 4 * kResendGiveUp;
 
 }  // namespace
--- a/src/core/record_transfers.h
+++ b/src/core/record_transfers.h
@@ -1,5 +1,5 @@
 /// @file
-/// Sends sets of flow records in batches and tells when a received set is whole.
+/// Sends flow records in batches and detects when a received transfer is complete.
 #pragma once
 
 #include <map>
@@ -13,7 +13,7 @@
 
 namespace cobaltgauge::core {
 
-/// What a transfer says of itself besides its records.
+/// Metadata of a transfer.
 struct TransferHeader {
   RecordPurpose purpose = RecordPurpose::kListing;
   ShardKey shard;
@@ -27,15 +27,15 @@
   RecordTransfers(const Membership& membership, const BackendDirectory& directory, Outbox& outbox)
       : membership_(membership), directory_(directory), outbox_(outbox) {}
 
-  /// Sends records reliably; at least one batch, also when there are none.
+  /// Sends records reliably; sends one batch if there are no records.
   void send(MemberId to, const TransferHeader& header, const std::vector<FlowRecord>& records,
             Time now);
 
-  /// Notes one received batch.
-  /// @return true exactly once per transfer, with the batch that makes it whole.
+  /// Registers a received batch.
+  /// @return true for the batch that completes the transfer, once per transfer.
   bool addBatch(MemberId from, const RecordsMessage& message, Time now);
 
-  /// Forgets transfers that stopped half-way.
+  /// Discards the state of transfers older than the retention time.
   void removeExpired(Time now);
 
  private:
--- a/src/core/service_placement.cc
+++ b/src/core/service_placement.cc
@@ -41,7 +41,7 @@
       }
     }
   }
-  // Flows that were open before tracking began must be listed once.
+  // Flows that were opened before tracking began must be listed once.
   const bool trackingBegins = !first && service.tracked && !tracked_;
   skipped_ = skipped && !first;
   if (trackingBegins || skipped_) {
--- a/src/core/shard_homes.cc
+++ b/src/core/shard_homes.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Ownership of shards: who owns what, and what happens when that changes.
+/// Ownership of shards and changes of owners.
 #include "core/shard_homes.h"
 
 #include <algorithm>
@@ -11,9 +11,10 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// A former home goes on deciding this long, since not every peer knows the new one yet.
+/// A former home continues to decide for this long, because some peers do not know the new home
+/// yet.
 constexpr Duration kFormerHomeDuration = 500ms;
-/// State of shards that this daemon no longer owns is dropped after this time.
+/// Retention time of the state of shards that this daemon no longer owns.
 constexpr Duration kFormerStateRetention = 30s;
 constexpr Duration kExpiryInterval = 10s;
 
@@ -120,7 +121,7 @@
   if (after.home == self && !wasHome) {
     becomeHome(key, before, placement, now);
   } else if (becomesReplica && !wasHome) {
-    states_[key].setUnknown();  // Until the home's copy arrives.
+    states_[key].setUnknown();  // Until the copy of the home's records arrives.
   }
   if (after.home == self && after.replica != before.replica && after.replica != kNoMember) {
     sendAllRecords(after.replica, RecordPurpose::kReplicaCopy, key, placement, now);
--- a/src/core/shard_homes.h
+++ b/src/core/shard_homes.h
@@ -1,6 +1,6 @@
 /// @file
-/// The part of the core that knows who owns each shard, holds the records of the shards this
-/// daemon owns, and moves records when owners change. See docs/design/001-flow-routing.md.
+/// Determines the owners of each shard, holds the records of the shards this daemon owns, and
+/// transfers records when owners change. See docs/design/001-flow-routing.md.
 #pragma once
 
 #include <bitset>
@@ -22,7 +22,7 @@
 using BucketSet = std::bitset<kBucketCount>;
 using ShardSet = std::bitset<kShardCount>;
 
-/// Placement of every service in force, by service.
+/// Placement of every configured service.
 using PlacementMap = std::map<ServiceId, ServicePlacement>;
 
 class ShardHomes {
@@ -30,23 +30,24 @@
   ShardHomes(const Membership& membership, BackendDirectory& directory, const FlowTable& flows,
              Outbox& outbox);
 
-  /// Recomputes the owners of every shard; moves records where this daemon gains or loses a shard.
+  /// Updates the owners of every shard; transfers records of shards that this daemon gains or
+  /// loses.
   void onEligibleChanged(const std::vector<MemberId>& eligible, const PlacementMap& placements,
                          Time now);
 
-  /// Starts the listing of a service whose buckets moved: reports this daemon's old flows to the
-  /// homes and opens a window at the shards that this daemon owns.
+  /// Starts the listing window of a service whose buckets moved: reports this daemon's flows in
+  /// moved buckets to the homes, and opens the window of the shards that this daemon owns.
   void onBucketsMoved(const ServicePlacement& placement, const BucketSet& moved, Time now);
 
-  /// Members that were given up came back (a cut healed, a process woke): flows of their time
-  /// apart may be unknown here, and ours unknown there.
+  /// Call when dead members become reachable again, after a network partition or a suspension: each
+  /// side may have accepted flows that the other does not know.
   void onMembersReturned(const std::set<MemberId>& returned, const PlacementMap& placements,
                          Time now);
 
-  /// This process was suspended; its replicas know better until they hand the records back.
+  /// Call after this process was suspended: waits for the replicas to hand over their records.
   void onResume(Time now);
 
-  /// Reports every flow that needs a record to the homes of all shards.
+  /// Reports all flows that need a record to the homes of their shards.
   void reportAll(const PlacementMap& placements, Time now);
 
   void onMemberUnreachable(MemberId member);
@@ -58,22 +59,22 @@
   void removeBackend(BackendId backend);
 
   ShardOwners owners(const ShardKey& key) const;
-  /// @return the owner to ask: the home, or the replica while the home is suspect.
+  /// @return the owner to forward to: the home, or the replica while the home is suspect.
   MemberId ownerToAsk(const ShardKey& key) const;
-  /// @return true where this daemon may decide flows of the shard that reached it after `hops`.
+  /// @return true if this daemon may decide flows of the shard that arrived after `hops` hops.
   bool mayDecide(const ShardKey& key, std::uint8_t hops, Time now) const;
 
-  /// @return the state of a shard, created empty when missing.
+  /// @return the state of a shard; created if missing.
   ShardState& state(const ShardKey& key) { return states_[key]; }
 
-  /// @return the recorded back end of a flow, without creating any state.
+  /// @return the recorded backend of a flow; does not create shard state.
   std::optional<BackendId> findRecord(const ShardKey& key, FlowFingerprint fingerprint) const;
 
-  /// Records flows and passes those that are new to the other owner.
+  /// Records flows and replicates the new ones to the other owner.
   void record(const ShardKey& key, ConfigurationVersion version,
               const std::vector<FlowRecord>& records, Time now);
 
-  /// @return true where this daemon has been the shard's home for at least `span`.
+  /// @return true if this daemon has been the shard's home for at least `span`.
   bool isHomeSince(const ShardKey& key, Duration span, Time now) const;
 
   std::size_t recordCount() const;
@@ -82,34 +83,34 @@
  private:
   bool owns(const ShardKey& key) const;
   bool isHome(const ShardKey& key) const;
-  /// Brings one shard's ranking up to date. @return the owners before.
+  /// Updates one shard's ranking. @return the owners before the update.
   ShardOwners updateRanking(const ShardKey& key, const std::vector<MemberId>& added,
                             const std::vector<MemberId>& removed);
   void onOwnersChanged(const ShardKey& key, const ShardOwners& before, const ShardOwners& after,
                        const ServicePlacement& placement, Time now);
   void becomeHome(const ShardKey& key, const ShardOwners& before, const ServicePlacement& placement,
                   Time now);
-  /// Sends all records of a shard, as handover or as copy for a new replica.
+  /// Sends all records of a shard, as a handover or as a copy for a new replica.
   void sendAllRecords(MemberId to, RecordPurpose purpose, const ShardKey& key,
                       const ServicePlacement& placement, Time now);
   void requestListings(const std::vector<ShardKey>& shards, const PlacementMap& placements,
                        Time now);
   std::set<MemberId> reportingMembers() const;
   void openWindow(const ShardKey& key, ConfigurationVersion version, Time closesAt);
-  /// Which of this daemon's flows of one service to report, and to whom.
+  /// Selects the flows of one service to report, and the receiver.
   struct Report {
     const ServicePlacement* placement = nullptr;
     RecordPurpose purpose = RecordPurpose::kFullListing;
     BucketSet buckets = BucketSet{}.set();
     ShardSet shards = ShardSet{}.set();
-    MemberId receiver = kNoMember;  ///< kNoMember: each shard's home.
+    MemberId receiver = kNoMember;  ///< kNoMember: the home of each shard.
   };
   using Reports = std::map<ServiceId, Report>;
 
-  /// Makes all reports with one scan of the flow table, which is the costly part.
+  /// Sends all reports with a single scan of the flow table.
   void reportFlows(const Reports& reports, Time now);
   static Report fullReport(const ServicePlacement& placement);
-  /// @return full reports on these shards only, of the services that are placed here.
+  /// @return full reports on these shards; services without a placement are skipped.
   static Reports reportsOn(const std::vector<ShardKey>& shards, const PlacementMap& placements,
                            MemberId receiver);
   void sendListingRequest(const std::set<MemberId>& members, const std::vector<ShardKey>& shards);
@@ -126,7 +127,7 @@
   Outbox& outbox_;
   RecordTransfers transfers_;
   std::map<ShardKey, OwnerRanking> rankings_;
-  std::vector<MemberId> eligible_;  ///< Sorted; what `rankings_` was made from.
+  std::vector<MemberId> eligible_;  ///< Sorted; the members in `rankings_`.
   std::map<ShardKey, ShardState> states_;
   std::vector<ShardKey> shardsToList_;
   Duration recordIdleTimeout_{std::chrono::hours(1)};
--- a/src/core/shard_listing.h
+++ b/src/core/shard_listing.h
@@ -1,6 +1,6 @@
 /// @file
-/// The recorded flows of one shard in short form: what an ingress daemon must know to forward the
-/// other flows of the shard by the table, without asking the home.
+/// Compact list of the recorded flows of one shard. An ingress daemon that has it forwards all
+/// other flows of the shard by the table, without involving the home.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,16 @@
 
 namespace cobaltgauge::core {
 
-/// A recorded flow within its shard: eight bits of bucket and sixteen of fingerprint. Two flows of
-/// one bucket share it once in 65,536; the flow that is not recorded then asks the home needlessly.
+/// Identifier of a flow within its shard: 8 bits of bucket index and 16 bits of fingerprint. A flow
+/// that collides with a recorded one is forwarded to the home, which is correct but slower.
 using CompactFlowId = std::uint32_t;
 
-/// Sorted short flows of one shard.
+/// Sorted flow identifiers of one shard.
 using ShardListing = std::vector<CompactFlowId>;
 
 inline CompactFlowId compactFlowIdOf(FlowFingerprint fingerprint) {
   constexpr unsigned kFingerprintBits = 16;
-  constexpr unsigned kUnusedBits = 48;  // Neither bucket nor table position use the bits above.
+  constexpr unsigned kUnusedBits = 48;  // The bucket is derived from lower bits.
   const auto index = static_cast<CompactFlowId>(bucketOf(fingerprint) % kBucketsPerShard);
   const auto high =
       static_cast<CompactFlowId>(static_cast<std::uint64_t>(fingerprint) >> kUnusedBits);
--- a/src/core/shard_records.cc
+++ b/src/core/shard_records.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Movement of flow records: listings, copies and handovers.
+/// Transfer of flow records: listings, copies and handovers.
 #include "core/constants.h"
 #include "core/hashing.h"
 #include "core/shard_homes.h"
@@ -123,7 +123,7 @@
 
 void ShardHomes::onListingRequest(MemberId from, const ListingRequest& request,
                                   const PlacementMap& placements, Time now) {
-  // To the asker, not to the home: this daemon may not know yet that the asker is the home.
+  // Reply to the requester: this daemon may not know yet that the requester is the home.
   reportFlows(reportsOn(request.shards, placements, from), now);
 }
 
@@ -205,7 +205,7 @@
     return;
   }
   const auto placement = placements.find(message.shard.service);
-  // A former home that is behind could not know the flows of buckets that are yet to move.
+  // A former home with an older version has no records of flows in buckets that moved since.
   const bool senderIsBehind =
       placement != placements.end() && message.version < placement->second.movedVersion();
   if (!message.authoritative || senderIsBehind) {
--- a/src/core/shard_state.cc
+++ b/src/core/shard_state.cc
@@ -50,7 +50,7 @@
   for (const auto& [fingerprint, record] : records_) {
     records.push_back({fingerprint, record.backend});
   }
-  // Sorted, so that a run with the same seed sends the same bytes.
+  // Sorted for deterministic output.
   std::sort(records.begin(), records.end(),
             [](const FlowRecord& a, const FlowRecord& b) { return a.fingerprint < b.fingerprint; });
   return records;
@@ -108,7 +108,7 @@
 void ShardState::openWindow(ConfigurationVersion version, Time closesAt,
                             std::set<MemberId> awaited) {
   if (isCompleteAt(version)) {
-    return;  // An owner that applied the version earlier has listed its flows and handed them over.
+    return;  // Records received in a handover are already complete for this version.
   }
   windowVersion_ = version;
   recordsVersion_ = std::max(recordsVersion_, version);
@@ -145,7 +145,8 @@
   if (full) {
     fullyListed_.insert(member);
   }
-  // A member that listed by an older placement lists the rest when it applies the present one.
+  // A member that sent a full listing for an older version reports the moved buckets when it
+  // applies the current one.
   if (version >= listingVersion_ && fullyListed_.contains(member)) {
     pendingListing_.members.erase(member);
   }
--- a/src/core/shard_state.h
+++ b/src/core/shard_state.h
@@ -1,6 +1,6 @@
 /// @file
-/// What an owner (home or replica) knows about one shard: the flows that do not follow the current
-/// placement, and whether that knowledge is complete enough to call an unknown flow new.
+/// State of one shard at an owner (home or replica): records of flows that do not follow the
+/// current placement, and whether the records are complete enough to treat an unknown flow as new.
 #pragma once
 
 #include <map>
@@ -17,17 +17,17 @@
 /// How complete an owner's records of a shard are.
 enum class Authority : std::uint8_t {
   kNone,            ///< Not an owner, or a replica without a copy of the home's records.
-  kAwaitsHandover,  ///< The former home has the records and has not sent all of them.
-  kAwaitsListing,   ///< Records were lost; the members were asked to list what they know.
+  kAwaitsHandover,  ///< The former home has not sent all of its records yet.
+  kAwaitsListing,   ///< Records were lost; the members' full listings were requested.
   kComplete,        ///< Every flow that needs a record has one.
 };
 
-/// How an owner treats a flow that it has no record of.
+/// How an owner treats a flow without a record.
 enum class UnknownFlowRule : std::uint8_t {
-  kIsNew,          ///< Every old flow is recorded, so this one is new.
-  kAssumeOld,      ///< Buckets moved just now; the flow may be an old one of the previous back end.
-  kDrop,           ///< Records may be missing and no safe guess exists; the sender must retry.
-  kAskFormerHome,  ///< The former home has the records until its handover arrives.
+  kIsNew,          ///< All old flows are recorded, so the flow is new.
+  kAssumeOld,      ///< Buckets moved recently; the flow may belong to the previous backend.
+  kDrop,           ///< Records may be missing: drop the packet and let the client retransmit.
+  kAskFormerHome,  ///< The former home has the records until the handover is complete.
 };
 
 class ShardState {
@@ -35,68 +35,71 @@
   // Records.
 
   std::optional<BackendId> find(FlowFingerprint fingerprint) const;
-  /// Adds a record; a record that exists stays, since the flow already lives there.
-  /// @return true where the record is new.
+  /// Adds a record unless the flow already has one.
+  /// @return true if the record was added.
   bool add(const FlowRecord& record, Time now);
-  /// Marks a recorded flow as seen now.
+  /// Updates the time a recorded flow was last seen.
   void touch(FlowFingerprint fingerprint, Time now);
   void removeBackend(BackendId backend);
   void expire(Time now, Duration idle);
   /// @return all records, sorted by fingerprint.
   std::vector<FlowRecord> allRecords() const;
   std::size_t recordCount() const { return records_.size(); }
-  /// @return number of recorded flows on a back end.
+  /// @return number of recorded flows on a backend.
   std::uint32_t flowsOn(BackendId backend) const;
-  /// @return all recorded flows in short form, sorted.
+  /// @return the compact identifiers of all recorded flows, sorted.
   ShardListing listing() const;
-  /// @return the buckets that hold a record.
+  /// @return the buckets with at least one record.
   ShardBitmap dirtyBuckets() const;
 
   // Authority.
 
   Authority authority() const { return authority_; }
-  /// @param version placement version as of which the records are complete.
+  /// Marks the records as complete.
+  /// @param version placement version for which they are complete.
   void setComplete(ConfigurationVersion version);
-  /// @return true where the records are complete as of at least this version.
+  /// @return true if the records are complete for this version or a later one.
   bool isCompleteAt(ConfigurationVersion version) const {
     return authority_ == Authority::kComplete && recordsVersion_ >= version;
   }
-  /// The records are not known to be complete any more; nobody was asked yet.
+  /// Marks the records as possibly incomplete, with no request pending.
   void setUnknown() { authority_ = Authority::kNone; }
   void awaitHandover(MemberId formerHome, Time until);
   MemberId formerHome() const { return formerHome_; }
-  /// @return true where the former home is gone or silent, so that a listing must replace it.
+  /// @return true if the handover timed out or the former home is unreachable; a listing is needed.
   bool handoverFailed(Time now) const;
-  /// Waits for full listings of these members as of `version`, at most until `until`.
+  /// Waits until `until` for full listings of these members for `version`.
   void awaitListing(std::set<MemberId> members, ConfigurationVersion version, Time until);
 
   // Windows.
 
-  /// Buckets moved: until every awaited member reported, or `closesAt`, flows may be old.
+  /// Opens the listing window after buckets moved. It closes when every awaited member has
+  /// reported, or at `closesAt`.
   void openWindow(ConfigurationVersion version, Time closesAt, std::set<MemberId> awaited);
   bool windowOpen(Time now) const { return now < windowClosesAt_ && !awaited_.empty(); }
-  /// The former home knows the state of the window: it stays open this long, zero closes it.
+  /// Shortens the window to the time remaining at the former home; zero closes it.
   void adoptWindow(ConfigurationVersion version, Time now, Duration remaining);
-  /// @return time until the window closes at the latest; zero while none is open.
+  /// @return the maximum time until the window closes; zero if it is not open.
   Duration windowRemaining(Time now) const;
-  /// These members were out of reach; until they list their flows, or `until`, nothing is certain.
+  /// Drops unknown flows until these members, which were unreachable, have listed their flows, or
+  /// until `until`.
   void awaitReports(const std::set<MemberId>& members, Time until);
 
-  /// A member has sent all flows it knows that need a record, as of a placement version.
-  /// @param full true where it listed the whole shard, false where only the moved buckets.
+  /// Call when a member has sent all its flows that need a record for a placement version.
+  /// @param full true if it listed the whole shard, false if only the moved buckets.
   void onReport(MemberId member, ConfigurationVersion version, bool full);
-  /// A member died or left; it will not report.
+  /// Stops waiting for reports of a member that died or left.
   void onMemberUnreachable(MemberId member);
-  /// @return members whose full listing is still awaited.
+  /// @return the members whose full listing is pending.
   std::set<MemberId> missingListings(Time now) const;
-  /// @return true where no complete set of records could be obtained.
+  /// @return true if the records were lost and may not have been restored completely by listings.
   bool recordsMayBeMissing() const { return authority_ == Authority::kAwaitsListing; }
 
   UnknownFlowRule unknownFlowRule(Time now) const;
 
-  /// Until when a former owner goes on deciding.
+  /// Time until which a former owner continues to decide flows of the shard.
   Time ownedUntil{};
-  /// When this daemon became the shard's home.
+  /// Time at which this daemon became the shard's home.
   Time homeSince{};
 
  private:
@@ -104,7 +107,7 @@
     BackendId backend = kNoBackend;
     Time lastSeen{};
   };
-  /// Members whose report is awaited, at most until a time.
+  /// Members whose reports are pending, with a deadline.
   struct PendingMembers {
     std::set<MemberId> members;
     Time until{};
