--- a/tests/bench/allocation_counter.h
+++ b/tests/bench/allocation_counter.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counts the allocations of a benchmark. Replaces operator new of the whole program.
+/// Counts allocations in benchmarks. Replaces the global operator new of the program.
 #pragma once
 
 #include <benchmark/benchmark.h>
@@ -8,10 +8,10 @@
 
 namespace cobaltgauge::bench {
 
-/// @return allocations of the program so far.
+/// @return the number of allocations of the program so far.
 std::uint64_t allocations();
 
-/// Reports the allocations of one iteration. @param before allocations() ahead of the first one.
+/// Reports the allocations per iteration. @param before allocations() before the first iteration.
 void reportAllocations(benchmark::State& state, std::uint64_t before);
 
 }  // namespace cobaltgauge::bench
--- a/tests/bench/decision_benchmark.cc
+++ b/tests/bench/decision_benchmark.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Cost of one packet decision: time and allocations. Run by hand; not a test.
+/// Benchmarks of the time and allocations of packet decisions.
 #include <benchmark/benchmark.h>
 
 #include "bench/allocation_counter.h"
@@ -13,7 +13,7 @@
 
 constexpr std::size_t kFlows = 1U << 14U;
 
-/// A daemon that is alone, settled, and serves 15 back ends.
+/// A single daemon with settled buckets and 15 backends.
 struct SettledDaemon {
   SettledDaemon() {
     compiler.prepared["web"] = tests::makeService("web", 1, 15);
--- a/tests/core/balancer_test.cc
+++ b/tests/core/balancer_test.cc
@@ -1,4 +1,4 @@
-/// Packet in, decision out, on one daemon and on two that talk.
+/// Packet decisions of one daemon and of two connected daemons.
 #include "core/balancer.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/// Drives one or two daemons in lock step without loss.
+/// Runs one or two daemons in lockstep without message loss.
 struct BalancerFixture {
   BalancerFixture() {
     compiler.prepared["four"] = tests::makeService("web", 1, 4);
@@ -37,7 +37,7 @@
     return result;
   }
 
-  /// Passes time, in ticks, and delivers every message.
+  /// Advances time in ticks and delivers all messages.
   void advance(Duration duration) {
     const Time end = now + duration;
     while (now < end) {
@@ -85,7 +85,7 @@
     return forward == nullptr ? kNoBackend : forward->backend.id;
   }
 
-  /// Follows a packet from daemon to daemon until it leaves the fleet.
+  /// Forwards a packet between daemons until one of them decides it.
   BackendId route(Balancer& ingress, const PacketSummary& packet) {
     Verdict verdict = ingress.onPacket(packet, now);
     for (int hop = 0; hop < 3; ++hop) {
@@ -115,7 +115,7 @@
     return chosen;
   }
 
-  /// Checks that the second daemon sends every flow where it was opened.
+  /// Checks that the second daemon forwards every flow to the backend chosen for it.
   void checkSameBackends(const std::map<std::uint8_t, BackendId>& chosen) {
     for (const auto& [client, backend] : chosen) {
       BOOST_TEST_REQUIRE((route(second, packetFrom(client)) == backend));
@@ -200,7 +200,7 @@
 BOOST_AUTO_TEST_CASE(FlowOpenedDuringTheListingWindowHasOneBackend) {
   startBoth("four");
   first.offerConfiguration(makeDocument(2, "drained"), now);
-  deliver();  // Both know the version; the window is open.
+  deliver();  // Both daemons have the version; the listing window is open.
   for (std::uint8_t client = 1; client < 100; ++client) {
     const BackendId chosen = route(first, packetFrom(client));
     BOOST_TEST_REQUIRE((route(second, packetFrom(client)) == chosen));
@@ -225,7 +225,7 @@
 BOOST_AUTO_TEST_CASE(SuspendedDaemonForwardsNothingUntilAPeerConfirmsItsView) {
   startBoth("four");
   running = {&second};
-  advance(20s);  // No tick of `first` happens in this time.
+  advance(20s);  // `first` gets no ticks.
   running = {&first, &second};
   const Verdict verdict = first.onPacket(packetFrom(1), now);
   BOOST_TEST((std::get<Drop>(verdict).reason == DropReason::kFenced));
--- a/tests/core/configuration_agent_test.cc
+++ b/tests/core/configuration_agent_test.cc
@@ -61,7 +61,7 @@
 BOOST_AUTO_TEST_CASE(TransferFromAnotherBaseIsRejectedAndAFullOneIsAccepted) {
   compiler.prepared["other"] = tests::makeService("other", 2, 2);
   ConfigurationAgent peer(compiler);
-  agent.offer({1, {{"other", "other", 0}, {"web", "five", 0}}});  // The rival content.
+  agent.offer({1, {{"other", "other", 0}, {"web", "five", 0}}});  // Conflicting content.
   peer.offer({1, {{"other", "other", 0}, {"web", "four", 0}}});
   compiler.prepared["other2"] = tests::makeService("other", 2, 3);
   peer.offer({2, {{"other", "other2", 0}, {"web", "four", 0}}});
--- a/tests/core/membership_test.cc
+++ b/tests/core/membership_test.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-/// Three members on a network whose links can be partitioned.
+/// Three members; `partitioned` separates the third from the others.
 struct MembershipFixture {
   struct Node {
     explicit Node(std::uint8_t number, sim::SeededRandom& random)
--- a/tests/core/placement_test.cc
+++ b/tests/core/placement_test.cc
@@ -1,4 +1,4 @@
-/// Placement tables and shard owners, mostly as properties.
+/// Tests of placement tables and shard owners, mostly property-based.
 #include <rapidcheck.h>
 
 #include <algorithm>
--- a/tests/support/core_fixtures.h
+++ b/tests/support/core_fixtures.h
@@ -1,5 +1,5 @@
 /// @file
-/// Small builders that tests of the core share.
+/// Builders shared by the tests of the core.
 #pragma once
 
 #include <map>
@@ -18,7 +18,7 @@
   return result;
 }
 
-/// @return a service with `count` active back ends of weight 100.
+/// @return a service with `count` active backends of weight 100.
 inline core::Service makeService(const std::string& name, std::uint8_t number, std::size_t count) {
   core::Service service;
   service.name = name;
@@ -37,7 +37,7 @@
   return service;
 }
 
-/// Compiles by name: a document's text is a key into prepared services.
+/// Test compiler: a document's text is a key of `prepared`.
 class MapCompiler : public core::ConfigurationCompiler {
  public:
   std::map<std::string, core::Service> prepared;
@@ -71,7 +71,7 @@
   return {core::memberIdOf(name), name, zone, "region-1", endpoint(92, number, 7000)};
 }
 
-/// @return a packet of caller `number` to the service at 10.90.0.1:5683.
+/// @return a packet of client `number` to the service at 10.90.0.1:5683.
 inline core::PacketSummary packetFrom(std::uint8_t number,
                                       core::PacketKind kind = core::PacketKind::kUnknown,
                                       core::Protocol protocol = core::Protocol::kUdp) {
