--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -55,7 +55,7 @@
   }
   // Without numbers, a draining backend is not reactivated by a restored store.
   const bool revertsShutdown =
-      known.state == BackendState::kLeaving && registration.state == BackendState::kActive;
+      known.state == BackendState::kDraining && registration.state == BackendState::kActive;
   return revertsShutdown && isOfLaterEra;
 }
 
@@ -84,7 +84,7 @@
   }
   const bool hasRestarted = startedBefore != 0 && registration.startedAtMs > startedBefore;
   const bool tookNewFlows = !isNew && takesNewFlows(known->second.address.id);
-  const bool leaving = registration.state == BackendState::kLeaving;
+  const bool leaving = registration.state == BackendState::kDraining;
   if (!isNew && (known->second.registration.service != registration.service ||
                  known->second.registration.endpoint != registration.endpoint)) {
     unlink(key, known->second);
--- a/src/core/fence.cc
+++ b/src/core/fence.cc
@@ -4,14 +4,14 @@
 
 namespace cobaltgauge::core {
 
-bool Fence::noticesSuspension(Time now) const {
+bool Fence::detectsSuspension(Time now) const {
   return started_ && now - lastTick_ > kSuspensionGap;
 }
 
 void Fence::close(Time now, std::uint64_t firstSequence) {
   closed_ = true;
   started_ = true;
-  closedSince_ = now;
+  closedAt_ = now;
   lastTick_ = now;
   firstSequence_ = firstSequence;
   confirmers_.clear();
@@ -20,7 +20,7 @@
 void Fence::closeUntilConfirmedBy(const std::set<MemberId>& confirmers, Time now,
                                   std::uint64_t firstSequence) {
   if (closed_ && confirmers_.empty()) {
-    return;  // Closed for a stronger reason.
+    return;  // Already closed, and any member may confirm.
   }
   close(now, firstSequence);
   confirmers_ = confirmers;
@@ -33,11 +33,11 @@
   }
 }
 
-void Fence::openIfAlone(Time now, bool heardFromPeer) {
-  if (closed_ && !confirmers_.empty() && now - closedSince_ >= kHealConfirmationTimeout) {
+void Fence::openAfterTimeout(Time now, bool heardFromPeer) {
+  if (closed_ && !confirmers_.empty() && now - closedAt_ >= kHealConfirmationTimeout) {
     closed_ = false;
   }
-  if (closed_ && !heardFromPeer && now - closedSince_ >= kFencePeerTimeout) {
+  if (closed_ && !heardFromPeer && now - closedAt_ >= kFencePeerTimeout) {
     closed_ = false;
   }
 }
--- a/src/core/relay/view_backfill.cc
+++ b/src/core/relay/view_backfill.cc
@@ -167,7 +167,7 @@
     (this->Recipients.size() < kMaxConcurrentRecipients &&
      !isLeftToCloserPeer);
   return hasSlot &&
-    this->Allowance.admit(RankedTokenBucket::kHighestRank, now);
+    this->Allowance.admit(AdmissionTokenBucket::kMaxPriority, now);
 }
 
 void ViewBackfill::ServePage(const ViewPageRequest& request,
--- a/src/core/view_exchange.cc
+++ b/src/core/view_exchange.cc
@@ -107,7 +107,7 @@
       view.peers.push_back(peer);
     }
   }
-  if (!needsFullView(request.have) || !viewBudget_.admit(RankedTokenBucket::kHighestRank, now)) {
+  if (!needsFullView(request.have) || !viewBudget_.admit(AdmissionTokenBucket::kMaxPriority, now)) {
     return view;
   }
   view.revision = reader_.revision();
--- a/src/core/view_exchange.h
+++ b/src/core/view_exchange.h
@@ -77,7 +77,7 @@
   Random& random_;
   const ChangeLog* changes_;
   std::vector<Endpoint> peers_;  ///< Most recent last.
-  RankedTokenBucket viewBudget_{kViewUnitsPerSecond};
+  AdmissionTokenBucket viewBudget_{kViewUnitsPerSecond};
   std::vector<OutgoingView> outgoing_;
   bool announced_ = false;
   Time startedAt_{};
--- a/src/core/view_updater.cc
+++ b/src/core/view_updater.cc
@@ -96,7 +96,7 @@
   if (const Registration* known = backends_.findPresent(change.key)) {
     // The writer may not be the backend itself, so the item only stops new flows.
     Registration drained = *known;
-    drained.state = BackendState::kLeaving;
+    drained.state = BackendState::kDraining;
     return apply({change.key, change.revision, drained}, drained, now);
   }
   return true;
--- a/tests/core/registration_order_test.cc
+++ b/tests/core/registration_order_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Order of a backend's registration updates if the store returns older ones, after a restore or a
-/// delayed write.
+/// What a back end has said of itself, and a store that shows something older: it came back from a
+/// copy, or took a write late.
 #include <boost/test/unit_test.hpp>
 
 #include "core/backend_registry.h"
@@ -42,18 +42,18 @@
   for (const std::uint64_t numbered : {0U, 1U}) {
     const std::uint64_t base = numbered * 10;
     putRegistration(BackendState::kActive, numbered * base, {StoreEra{1 + base}, 20});
-    putRegistration(BackendState::kLeaving, numbered * (base + 2), {StoreEra{1 + base}, 46});
+    putRegistration(BackendState::kDraining, numbered * (base + 2), {StoreEra{1 + base}, 46});
     BOOST_TEST(!takesNewFlows());
     putRegistration(BackendState::kActive, numbered * (base + 1), {StoreEra{2 + base}, 30});
     BOOST_TEST(!takesNewFlows());
-    putRegistration(BackendState::kLeaving, numbered * (base + 3), {StoreEra{2 + base}, 45});
+    putRegistration(BackendState::kDraining, numbered * (base + 3), {StoreEra{2 + base}, 45});
     BOOST_TEST(!takesNewFlows());
   }
 }
 
 BOOST_AUTO_TEST_CASE(return_to_active_in_later_era_is_applied) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
-  putRegistration(BackendState::kLeaving, 12, {StoreEra{1}, 46});
+  putRegistration(BackendState::kDraining, 12, {StoreEra{1}, 46});
   putRegistration(BackendState::kActive, 13, {StoreEra{2}, 45});
   BOOST_TEST(takesNewFlows());
 }
@@ -61,17 +61,17 @@
 BOOST_AUTO_TEST_CASE(late_older_statement_is_ignored) {
   startedAtMs = 5;
   putRegistration(BackendState::kActive, 10, 20);
-  putRegistration(BackendState::kLeaving, 12, 21);
+  putRegistration(BackendState::kDraining, 12, 21);
   BOOST_TEST((putRegistration(BackendState::kActive, 11, 22) == RegistryEvent::kNone));
   BOOST_TEST(!takesNewFlows());
 }
 
-// The backend restarted under the same id, and its numbers start again.
+// It has started again under its id, and begins its numbers anew.
 BOOST_AUTO_TEST_CASE(restarted_statement_numbers_are_accepted) {
   putRegistration(BackendState::kActive, 10, 20);
-  BOOST_TEST((putRegistration(BackendState::kLeaving, 1, 21) == RegistryEvent::kLeaving));
+  BOOST_TEST((putRegistration(BackendState::kDraining, 1, 21) == RegistryEvent::kLeaving));
   startedAtMs = 5;
-  putRegistration(BackendState::kLeaving, 10, 22);
+  putRegistration(BackendState::kDraining, 10, 22);
   backends.remove(kKey, 23, now);
   putRegistration(BackendState::kActive, 1, 24);
   BOOST_TEST(takesNewFlows());
@@ -79,14 +79,14 @@
 
 BOOST_AUTO_TEST_CASE(drained_backend_in_restored_store_takes_no_new_flows) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
-  putRegistration(BackendState::kLeaving, 12, {StoreEra{1}, 46});
+  putRegistration(BackendState::kDraining, 12, {StoreEra{1}, 46});
   backends.remove(kKey, {StoreEra{1}, 47}, now);
   putRegistration(BackendState::kActive, 11, {StoreEra{2}, 30});
   BOOST_TEST(!takesNewFlows());
 }
 
-// Heartbeats do not raise the revision, so after a restore only the item itself shows that the
-// backend exists.
+// A registration lapses where its heartbeats are late. They raise no revision, so nothing but the
+// copy's item would say that the back end is there.
 BOOST_AUTO_TEST_CASE(expired_backend_in_restored_store_takes_new_flows) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   backends.remove(kKey, {StoreEra{1}, 47}, now);
@@ -102,14 +102,14 @@
   BOOST_TEST(backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 20}));
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{1}, 20}));
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 45}));
-  item.state = BackendState::kLeaving;
+  item.state = BackendState::kDraining;
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 20}));
   backends.remove(kKey, {StoreEra{1}, 47}, now);
   item.state = BackendState::kActive;
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 20}));
 }
 
-// The restored store lacked the item, and it was written again under its previous number.
+// A copy lacked it, and it was written again under the number that it had had before.
 BOOST_AUTO_TEST_CASE(same_revision_number_in_later_era_is_a_change) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   BOOST_TEST(
@@ -118,7 +118,7 @@
   BOOST_TEST(takesNewFlows());
 }
 
-// The restored store lacks the later backend at the same address.
+// Its address belongs to a later back end, which the copy lacked.
 BOOST_AUTO_TEST_CASE(restored_stale_backend_is_superseded_by_current_one) {
   const auto put = [this](std::uint64_t id, Revision revision) {
     backends.put("servers/" + std::to_string(id), makeRegistration(id, "web", 1, 1), revision, now);
--- a/tests/core/relay/store_era_stateful_test.cc
+++ b/tests/core/relay/store_era_stateful_test.cc
@@ -61,7 +61,7 @@
     SimulatedBackend& backend = this->Backends.at(id);
     core::Registration registration =
       makeRegistration(id, "web", 1, static_cast<std::uint8_t>(id));
-    registration.state = backend.Leaving ? core::BackendState::kLeaving
+    registration.state = backend.Leaving ? core::BackendState::kDraining
                                          : core::BackendState::kActive;
     registration.statement = ++backend.Statement;
     this->Store.put(KeyOf(id), registration);
@@ -131,7 +131,7 @@
       return true;
     }
     const auto& registration = std::get<core::Registration>(item->item);
-    const bool isLeaving = registration.state == core::BackendState::kLeaving;
+    const bool isLeaving = registration.state == core::BackendState::kDraining;
     return isLeaving != backend.Leaving;
   }
 
@@ -145,7 +145,7 @@
         const core::Registration* registration =
           node->Backends.registrationOf(core::BackendId{ id });
         if (registration != nullptr &&
-            registration->state == core::BackendState::kLeaving) {
+            registration->state == core::BackendState::kDraining) {
           known.emplace(node.get(), id);
         }
       }
--- a/tests/core/relay/store_era_test.cc
+++ b/tests/core/relay/store_era_test.cc
@@ -40,7 +40,7 @@
   {
     core::Registration registration =
       makeRegistration(id, "web", 1, static_cast<std::uint8_t>(id));
-    registration.state = core::BackendState::kLeaving;
+    registration.state = core::BackendState::kDraining;
     this->Store.put("servers/" + std::to_string(id), registration);
   }
 
--- a/tests/core/restarted_backends_test.cc
+++ b/tests/core/restarted_backends_test.cc
@@ -108,7 +108,7 @@
   BOOST_REQUIRE(excerpt.has_value());
   BOOST_REQUIRE(excerpt->Changes.size() == 1U);
   const auto& told = std::get<core::Registration>(excerpt->Changes[0].item);
-  BOOST_TEST((told.state == core::BackendState::kLeaving));
+  BOOST_TEST((told.state == core::BackendState::kDraining));
 }
 
 BOOST_AUTO_TEST_CASE(unreadable_item_of_unknown_key_changes_nothing) {
--- a/tests/core/token_openings_test.cc
+++ b/tests/core/token_openings_test.cc
@@ -92,7 +92,7 @@
 
 BOOST_AUTO_TEST_CASE(leaving_backend_keeps_its_flows_and_gets_no_new_flow) {
   core::Registration leaving = makeRegistration(1, "web", 1, 1);
-  leaving.state = core::BackendState::kLeaving;
+  leaving.state = core::BackendState::kDraining;
   putBackend(1, leaving);
   for (std::uint16_t port = 1; port <= 20; ++port) {
     now += 100ms;
@@ -209,7 +209,7 @@
 BOOST_AUTO_TEST_CASE(leaving_backends_get_no_flow_after_removal) {
   for (std::uint8_t host = 1; host <= 3; ++host) {
     core::Registration leaving = makeRegistration(host, "web", 1, host);
-    leaving.state = core::BackendState::kLeaving;
+    leaving.state = core::BackendState::kDraining;
     putBackend(host, leaving);
   }
   removeBackends();
--- a/tests/core/token_steering_test.cc
+++ b/tests/core/token_steering_test.cc
@@ -150,7 +150,7 @@
   const BackendId backend = establishFlow(1);
   core::Registration leaving = makeRegistration(static_cast<std::uint64_t>(backend), "web", 1,
                                                 static_cast<std::uint8_t>(backend));
-  leaving.state = core::BackendState::kLeaving;
+  leaving.state = core::BackendState::kDraining;
   putBackend(static_cast<std::uint64_t>(backend), leaving);
   now += 1s;
   steering.onTick(now);
--- a/tests/core/tokens/token_steering_model.h
+++ b/tests/core/tokens/token_steering_model.h
@@ -157,7 +157,8 @@
     const auto index = this->FindAlive(endpoint(1, host, 8000));
     // Draining is recorded in the store first.
     if (index && this->IsStoreUp && this->Backends[*index].IsRegistered) {
-      this->Backends[*index].Registration.state = core::BackendState::kLeaving;
+      this->Backends[*index].Registration.state =
+        core::BackendState::kDraining;
       ++this->Revision;
     }
   }
@@ -216,7 +217,7 @@
         const std::string key = TokenFixture::keyOf(id);
         keys.insert(key);
         registry.put(key, backend.Registration, this->Revision, this->Now);
-        if (backend.Registration.state == core::BackendState::kLeaving) {
+        if (backend.Registration.state == core::BackendState::kDraining) {
           daemon.KnownDraining.insert(backend.Registration.id);
         }
       }
