--- a/src/sim/fault_generator.cc
+++ b/src/sim/fault_generator.cc
@@ -11,7 +11,7 @@
 using std::chrono::seconds;
 
 constexpr core::Time kFirstFault = seconds(10);
-constexpr core::Duration kQuietBeforeEnd = seconds(5);
+constexpr core::Duration kFaultFreeEnd = seconds(5);
 
 class Generator {
  public:
@@ -26,8 +26,8 @@
 
   std::vector<FaultSpec> run() {
     core::Time at = kFirstFault;
-    while (at < scenario_.duration - kQuietBeforeEnd) {
-      addOne(at);
+    while (at < scenario_.duration - kFaultFreeEnd) {
+      addRandomFault(at);
       at += random_.between(milliseconds(500), milliseconds(5000));
     }
     std::stable_sort(faults_.begin(), faults_.end(),
@@ -51,41 +51,41 @@
     return service.name + "-" + std::to_string(1 + random_.below(service.backends));
   }
 
-  core::Time recovery(core::Time at) { return at + random_.between(seconds(1), seconds(8)); }
+  core::Time recoveryTime(core::Time at) { return at + random_.between(seconds(1), seconds(8)); }
 
-  void loseDaemon(core::Time at, FaultKind kind) {
-    constexpr std::size_t kDaemonsThatStay = 3;
-    if (daemons_.size() <= kDaemonsThatStay) {
+  void addDaemonLoss(core::Time at, FaultKind kind) {
+    constexpr std::size_t kMinDaemons = 3;
+    if (daemons_.size() <= kMinDaemons) {
       return;
     }
     const std::string daemon = pick(daemons_);
     std::erase(daemons_, daemon);
     add(at, kind, daemon);
     // A replacement joins in any zone, with a name that the world chooses.
-    add(recovery(at), FaultKind::kJoinDaemon, pickZone());
+    add(recoveryTime(at), FaultKind::kJoinDaemon, pickZone());
   }
 
-  void addOne(core::Time at) {
+  void addRandomFault(core::Time at) {
     constexpr std::uint64_t kChoices = 12;
     switch (random_.below(kChoices)) {
       case 0:
-        loseDaemon(at, FaultKind::kKillDaemon);
+        addDaemonLoss(at, FaultKind::kKillDaemon);
         break;
       case 1:
-        loseDaemon(at, FaultKind::kStopDaemon);
+        addDaemonLoss(at, FaultKind::kStopDaemon);
         break;
       case 2: {
         const std::string daemon = pick(daemons_);
-        add(at, FaultKind::kFreezeDaemon, daemon);
-        add(recovery(at), FaultKind::kWakeDaemon, daemon);
+        add(at, FaultKind::kSuspendDaemon, daemon);
+        add(recoveryTime(at), FaultKind::kResumeDaemon, daemon);
         break;
       }
       case 3:
-        if (!zoneWasCut_) {
-          zoneWasCut_ = true;
+        if (!zonePartitioned_) {
+          zonePartitioned_ = true;
           const std::string zone = pickZone();
-          add(at, FaultKind::kCutZone, zone);
-          add(recovery(at), FaultKind::kHealZone, zone);
+          add(at, FaultKind::kPartitionZone, zone);
+          add(recoveryTime(at), FaultKind::kRecoverZone, zone);
         }
         break;
       case 4:
@@ -112,11 +112,11 @@
         break;
       case 10:
         add(at, FaultKind::kPlatformDown);
-        add(recovery(at), FaultKind::kPlatformUp);
+        add(recoveryTime(at), FaultKind::kPlatformUp);
         break;
       default:
         add(at, FaultKind::kPlatformStale);
-        add(recovery(at), FaultKind::kPlatformUp);
+        add(recoveryTime(at), FaultKind::kPlatformUp);
         break;
     }
   }
@@ -125,7 +125,7 @@
   SeededRandom random_;
   std::vector<std::string> daemons_;
   std::vector<FaultSpec> faults_;
-  bool zoneWasCut_ = false;
+  bool zonePartitioned_ = false;
 };
 
 }  // namespace
--- a/src/sim/history.h
+++ b/src/sim/history.h
@@ -1,5 +1,5 @@
 /// @file
-/// History of a run: what callers, back ends and operators saw, one JSON object a line. Written by
+/// History of a run: what clients, back ends and operators saw, one JSON object a line. Written by
 /// the stand-ins and the simulator, read by the checker. Knows nothing of the core.
 #pragma once
 
@@ -12,22 +12,22 @@
 namespace cobaltgauge::sim {
 
 enum class EventKind : std::uint8_t {
-  kSessionOpened,           ///< Caller: its session was accepted. actor = caller.
+  kSessionOpened,           ///< Caller: its session was accepted. actor = client.
   kSessionAtBackend,        ///< Back end: a new session arrived. actor = back end.
   kSessionUnknown,          ///< Back end: a packet of a session that it does not hold.
   kSessionBroken,           ///< Caller: was told that its session does not exist any more.
   kRequestSent,             ///< Caller: first transmission of a request.
   kRequestDone,             ///< Caller: was told that the request was executed.
   kRequestRefused,          ///< Caller: was told "not run".
-  kRequestUnknown,          ///< Caller: gave up, or was told "outcome unknown".
+  kRequestOutcomeUnknown,   ///< Caller: gave up, or was told "outcome unknown".
   kRequestExecuted,         ///< Back end: executed the request.
-  kRequestRepeated,         ///< Back end: dropped a repeat of a request.
-  kAnswerWhole,             ///< Caller: a large answer arrived whole.
-  kAnswerWrong,             ///< Caller: a large answer was incomplete or belonged elsewhere.
-  kStray,                   ///< Back end: a packet of another service or incarnation.
-  kBackendLeaving,          ///< Operator: configuration with a leaving back end was published.
+  kRequestDuplicate,        ///< Back end: dropped a repeat of a request.
+  kResponseComplete,        ///< Caller: a large answer arrived whole.
+  kResponseInvalid,         ///< Caller: a large answer was incomplete or belonged elsewhere.
+  kMisdelivered,            ///< Back end: a packet of another service or incarnation.
+  kBackendDraining,         ///< Operator: configuration with a leaving back end was published.
   kConfigurationPublished,  ///< Operator: a version was published. detail = version.
-  kConfigurationInForce,    ///< Daemon: a version came in force. detail = version.
+  kConfigurationActive,     ///< Daemon: a version came in force. detail = version.
   kFault,                   ///< Whoever caused a fault. detail = which.
 };
 
--- a/src/sim/history_checker.cc
+++ b/src/sim/history_checker.cc
@@ -9,18 +9,18 @@
 namespace {
 
 /// What is known of one request.
-struct RequestFacts {
+struct RequestState {
   std::string session;
   int executions = 0;
-  bool toldDone = false;
-  bool toldNotRun = false;
+  bool reportedDone = false;
+  bool reportedNotRun = false;
 };
 
 /// What is known of one session.
-struct SessionFacts {
+struct SessionState {
   std::string service;
   std::set<std::string> backends;
-  bool toldBroken = false;
+  bool reportedBroken = false;
 };
 
 class Checker {
@@ -29,22 +29,22 @@
 
   CheckerReport run(const std::vector<Event>& events) {
     for (const Event& event : events) {
-      take(event);
+      processEvent(event);
     }
-    judgeSessions();
-    judgeRequests();
-    judgeVersions();
-    judgeImbalance();
+    checkSessions();
+    checkRequests();
+    checkConfigurationDelay();
+    computeImbalance();
     return std::move(report_);
   }
 
  private:
-  void violate(std::size_t& counter, const std::string& rule, const std::string& evidence) {
+  void addViolation(std::size_t& counter, const std::string& rule, const std::string& evidence) {
     ++counter;
     report_.violations.push_back({rule, evidence});
   }
 
-  void take(const Event& event) {
+  void processEvent(const Event& event) {
     switch (event.kind) {
       case EventKind::kSessionOpened:
         ++report_.sessions;
@@ -52,69 +52,70 @@
       case EventKind::kSessionAtBackend:
         sessions_[event.session].service = event.service;
         sessions_[event.session].backends.insert(event.actor);
-        judgeNewWork(event);
+        checkNewSession(event);
         break;
       case EventKind::kSessionBroken:
       case EventKind::kSessionUnknown:
-        sessions_[event.session].toldBroken = true;
+        sessions_[event.session].reportedBroken = true;
         break;
       case EventKind::kRequestSent:
         ++report_.requests;
         requests_[event.request].session = event.session;
         break;
       case EventKind::kRequestDone:
-        requests_[event.request].toldDone = true;
+        requests_[event.request].reportedDone = true;
         break;
       case EventKind::kRequestRefused:
         ++report_.refusals;
-        requests_[event.request].toldNotRun = true;
+        requests_[event.request].reportedNotRun = true;
         break;
-      case EventKind::kRequestUnknown:
+      case EventKind::kRequestOutcomeUnknown:
         ++report_.unknownOutcomes;
         break;
       case EventKind::kRequestExecuted:
         ++report_.executions;
         ++requests_[event.request].executions;
         break;
-      case EventKind::kRequestRepeated:
-        ++report_.repeatsDropped;
+      case EventKind::kRequestDuplicate:
+        ++report_.droppedDuplicates;
         break;
-      case EventKind::kAnswerWhole:
-        ++report_.wholeAnswers;
+      case EventKind::kResponseComplete:
+        ++report_.completeResponses;
         break;
-      case EventKind::kAnswerWrong:
-        violate(report_.wrongAnswers, "whole answer",
-                event.session + " request " + event.request + ": " + event.detail);
+      case EventKind::kResponseInvalid:
+        addViolation(report_.invalidResponses, "whole answer",
+                     event.session + " request " + event.request + ": " + event.detail);
         break;
-      case EventKind::kStray:
-        violate(report_.strays, "no stray",
-                "at " + event.actor + ", t=" + std::to_string(event.timeMs) + " " + event.detail);
+      case EventKind::kMisdelivered:
+        addViolation(
+            report_.misdelivered, "no stray",
+            "at " + event.actor + ", t=" + std::to_string(event.timeMs) + " " + event.detail);
         break;
-      case EventKind::kBackendLeaving:
-        leavingSince_.try_emplace(event.actor, event.timeMs);
+      case EventKind::kBackendDraining:
+        drainingSince_.try_emplace(event.actor, event.timeMs);
         break;
       case EventKind::kConfigurationPublished:
         published_.try_emplace(std::stoull(event.detail), event.timeMs);
         break;
-      case EventKind::kConfigurationInForce:
-        judgeInForce(event);
+      case EventKind::kConfigurationActive:
+        checkActivation(event);
         break;
       case EventKind::kFault:
-        noteOutage(event);
+        recordOutage(event);
         break;
     }
   }
 
   /// Outages keep a published change from being read: the platform is down or stale, or a zone is
   /// cut off. Bounds on changes count from the end of an outage that began before they ran out.
-  void noteOutage(const Event& event) {
+  void recordOutage(const Event& event) {
     const bool begins = event.detail.starts_with("platform_down") ||
                         event.detail.starts_with("platform_stale") ||
                         event.detail.starts_with("cut_zone");
     const bool ends =
         event.detail.starts_with("platform_up") || event.detail.starts_with("heal_zone");
     const bool platform = event.detail.starts_with("platform");
-    bool& open = platform ? platformOutage_ : cutOutage_;
+    bool& open = platform ? platformOutage_ : partitionOutage_;
     if (begins) {
       open = true;
     } else if (ends) {
@@ -124,29 +125,30 @@
   }
 
   /// @return when a change of `sinceMs` could last be learned, as far as is known now.
-  std::int64_t knowableSince(std::int64_t sinceMs, std::int64_t nowMs) const {
-    if (platformOutage_ || cutOutage_) {
+  std::int64_t readableSince(std::int64_t sinceMs, std::int64_t nowMs) const {
+    if (platformOutage_ || partitionOutage_) {
       return nowMs;
     }
     return std::max(sinceMs, lastOutageEnd_);
   }
 
-  void judgeNewWork(const Event& event) {
-    const auto leaving = leavingSince_.find(event.actor);
-    if (leaving != leavingSince_.end() &&
-        event.timeMs > knowableSince(leaving->second, event.timeMs) + bounds_.drainMs) {
-      violate(report_.lateNewWork, "no new work on a leaving back end",
-              event.session + " at " + event.actor + " " +
-                  std::to_string(event.timeMs - leaving->second) + " ms after it began to leave");
+  void checkNewSession(const Event& event) {
+    const auto draining = drainingSince_.find(event.actor);
+    if (draining != drainingSince_.end() &&
+        event.timeMs > readableSince(draining->second, event.timeMs) + bounds_.drainMs) {
+      addViolation(report_.lateNewSessions, "no new work on a leaving back end",
+                   event.session + " at " + event.actor + " " +
+                       std::to_string(event.timeMs - draining->second) +
+                       " ms after it began to leave");
     }
   }
 
-  void judgeInForce(const Event& event) {
+  void checkActivation(const Event& event) {
     const std::uint64_t version = std::stoull(event.detail);
-    std::uint64_t& known = inForce_[event.actor];
+    std::uint64_t& known = activeVersions_[event.actor];
     if (version < known) {
-      violate(
-          report_.configurationFaults, "configuration never reverts",
+      addViolation(
+          report_.configurationViolations, "configuration never reverts",
           event.actor + " went from " + std::to_string(known) + " to " + std::to_string(version));
     }
     known = std::max(known, version);
@@ -155,53 +157,54 @@
     if (published == published_.end()) {
       return;
     }
-    const std::int64_t delay = event.timeMs - knowableSince(published->second, event.timeMs);
+    const std::int64_t delay = event.timeMs - readableSince(published->second, event.timeMs);
     // A daemon that joins later takes the version when it joins.
     if (firstSeen <= published->second) {
-      report_.slowestConfigurationMs = std::max(report_.slowestConfigurationMs, delay);
+      report_.maxConfigurationDelayMs = std::max(report_.maxConfigurationDelayMs, delay);
     }
   }
 
-  void judgeSessions() {
-    for (const auto& [session, facts] : sessions_) {
-      if (facts.toldBroken) {
-        violate(report_.brokenSessions, "established session survives",
-                session + ": a packet reached a back end that does not hold the session");
-      } else if (facts.backends.size() > 1) {
-        violate(report_.brokenSessions, "established session survives",
-                session + " was opened on " + std::to_string(facts.backends.size()) + " back ends");
+  void checkSessions() {
+    for (const auto& [session, state] : sessions_) {
+      if (state.reportedBroken) {
+        addViolation(report_.brokenSessions, "established session survives",
+                     session + ": a packet reached a back end that does not hold the session");
+      } else if (state.backends.size() > 1) {
+        addViolation(
+            report_.brokenSessions, "established session survives",
+            session + " was opened on " + std::to_string(state.backends.size()) + " back ends");
       }
     }
   }
 
-  void judgeRequests() {
-    for (const auto& [request, facts] : requests_) {
-      if (facts.executions > 1) {
-        violate(report_.doubleExecutions, "runs at most once",
-                request + " ran " + std::to_string(facts.executions) + " times");
+  void checkRequests() {
+    for (const auto& [request, state] : requests_) {
+      if (state.executions > 1) {
+        addViolation(report_.doubleExecutions, "runs at most once",
+                     request + " ran " + std::to_string(state.executions) + " times");
       }
-      if (facts.toldNotRun && facts.executions > 0) {
-        violate(report_.falseRefusals, "\"not run\" is true", request + " was executed");
+      if (state.reportedNotRun && state.executions > 0) {
+        addViolation(report_.falseRefusals, "\"not run\" is true", request + " was executed");
       }
-      if (facts.toldDone && facts.executions == 0) {
-        violate(report_.lostRequests, "an answered request was executed", request);
+      if (state.reportedDone && state.executions == 0) {
+        addViolation(report_.lostRequests, "an answered request was executed", request);
       }
     }
   }
 
-  void judgeVersions() {
-    if (report_.slowestConfigurationMs > bounds_.configurationMs) {
-      violate(report_.configurationFaults, "configuration in force in time",
-              "slowest took " + std::to_string(report_.slowestConfigurationMs) + " ms");
+  void checkConfigurationDelay() {
+    if (report_.maxConfigurationDelayMs > bounds_.configurationMs) {
+      addViolation(report_.configurationViolations, "configuration in force in time",
+                   "slowest took " + std::to_string(report_.maxConfigurationDelayMs) + " ms");
     }
   }
 
-  void judgeImbalance() {
+  void computeImbalance() {
     std::map<std::string, std::map<std::string, std::size_t>> counts;
-    for (const auto& [session, facts] : sessions_) {
-      const bool placed = !facts.backends.empty() && !facts.service.empty();
-      if (placed && !leavingSince_.contains(*facts.backends.begin())) {
-        ++counts[facts.service][*facts.backends.begin()];
+    for (const auto& [session, state] : sessions_) {
+      const bool placed = !state.backends.empty() && !state.service.empty();
+      if (placed && !drainingSince_.contains(*state.backends.begin())) {
+        ++counts[state.service][*state.backends.begin()];
       }
     }
     for (const auto& [service, backends] : counts) {
@@ -218,19 +221,19 @@
 
   CheckerBounds bounds_;
   CheckerReport report_;
-  std::map<std::string, SessionFacts> sessions_;
-  std::map<std::string, RequestFacts> requests_;
-  std::map<std::string, std::int64_t> leavingSince_;
+  std::map<std::string, SessionState> sessions_;
+  std::map<std::string, RequestState> requests_;
+  std::map<std::string, std::int64_t> drainingSince_;
   std::map<std::uint64_t, std::int64_t> published_;
-  std::map<std::string, std::uint64_t> inForce_;
+  std::map<std::string, std::uint64_t> activeVersions_;
   std::map<std::string, std::int64_t> firstSeen_;
   bool platformOutage_ = false;
-  bool cutOutage_ = false;
+  bool partitionOutage_ = false;
   std::int64_t lastOutageEnd_ = 0;
 };
 
 constexpr int kLabelWidth = 34;
-constexpr std::size_t kShownViolations = 20;
+constexpr std::size_t kMaxShownViolations = 20;
 
 }  // namespace
 
@@ -238,19 +241,19 @@
   sessions += other.sessions;
   requests += other.requests;
   executions += other.executions;
-  repeatsDropped += other.repeatsDropped;
+  droppedDuplicates += other.droppedDuplicates;
   refusals += other.refusals;
   unknownOutcomes += other.unknownOutcomes;
-  wholeAnswers += other.wholeAnswers;
+  completeResponses += other.completeResponses;
   brokenSessions += other.brokenSessions;
   doubleExecutions += other.doubleExecutions;
-  strays += other.strays;
+  misdelivered += other.misdelivered;
   falseRefusals += other.falseRefusals;
   lostRequests += other.lostRequests;
-  wrongAnswers += other.wrongAnswers;
-  lateNewWork += other.lateNewWork;
-  configurationFaults += other.configurationFaults;
-  slowestConfigurationMs = std::max(slowestConfigurationMs, other.slowestConfigurationMs);
+  invalidResponses += other.invalidResponses;
+  lateNewSessions += other.lateNewSessions;
+  configurationViolations += other.configurationViolations;
+  maxConfigurationDelayMs = std::max(maxConfigurationDelayMs, other.maxConfigurationDelayMs);
 }
 
 double HistoryCounts::brokenPerMillion() const {
@@ -274,23 +277,23 @@
   row("sessions", report.sessions);
   row("requests", report.requests);
   row("executions", report.executions);
-  row("repeats dropped by back ends", report.repeatsDropped);
-  row("large answers whole", report.wholeAnswers);
+  row("repeats dropped by back ends", report.droppedDuplicates);
+  row("large answers whole", report.completeResponses);
   row("refused as not run", report.refusals);
   row("outcome unknown", report.unknownOutcomes);
-  row("slowest configuration (ms)", report.slowestConfigurationMs);
+  row("slowest configuration (ms)", report.maxConfigurationDelayMs);
   for (const auto& [service, value] : report.imbalance) {
     row("imbalance " + service + " (max/mean)", value);
   }
   row("BROKEN sessions", report.brokenSessions);
   row("DOUBLED executions", report.doubleExecutions);
-  row("STRAYS", report.strays);
+  row("STRAYS", report.misdelivered);
   row("FALSE refusals", report.falseRefusals);
   row("LOST requests", report.lostRequests);
-  row("WRONG answers", report.wrongAnswers);
-  row("LATE new work", report.lateNewWork);
-  row("CONFIGURATION faults", report.configurationFaults);
-  for (std::size_t i = 0; i < std::min(report.violations.size(), kShownViolations); ++i) {
+  row("WRONG answers", report.invalidResponses);
+  row("LATE new work", report.lateNewSessions);
+  row("CONFIGURATION faults", report.configurationViolations);
+  for (std::size_t i = 0; i < std::min(report.violations.size(), kMaxShownViolations); ++i) {
     out << "violated: " << report.violations[i].rule << ": " << report.violations[i].evidence
         << "\n";
   }
--- a/src/sim/history_checker.h
+++ b/src/sim/history_checker.h
@@ -28,19 +28,19 @@
   std::size_t sessions = 0;
   std::size_t requests = 0;
   std::size_t executions = 0;
-  std::size_t repeatsDropped = 0;
+  std::size_t droppedDuplicates = 0;
   std::size_t refusals = 0;
   std::size_t unknownOutcomes = 0;
-  std::size_t wholeAnswers = 0;
+  std::size_t completeResponses = 0;
   std::size_t brokenSessions = 0;
   std::size_t doubleExecutions = 0;
-  std::size_t strays = 0;
+  std::size_t misdelivered = 0;
   std::size_t falseRefusals = 0;
   std::size_t lostRequests = 0;
-  std::size_t wrongAnswers = 0;
-  std::size_t lateNewWork = 0;
-  std::size_t configurationFaults = 0;
-  std::int64_t slowestConfigurationMs = 0;
+  std::size_t invalidResponses = 0;
+  std::size_t lateNewSessions = 0;
+  std::size_t configurationViolations = 0;
+  std::int64_t maxConfigurationDelayMs = 0;
 
   /// Adds another history's counts; of the slowest times the larger one stays.
   void add(const HistoryCounts& other);
--- a/src/sim/main.cc
+++ b/src/sim/main.cc
@@ -9,8 +9,8 @@
 #include "sim/fault_generator.h"
 #include "sim/history_checker.h"
 #include "sim/scenario_loader.h"
+#include "sim/simulation.h"
 #include "sim/sweep.h"
-#include "sim/world.h"
 
 namespace {
 
@@ -73,7 +73,7 @@
   if (options->text("random-faults") == "yes") {
     scenario->faults = generateFaults(*scenario, scenario->seed);
   }
-  const RunResult result = World(*scenario).run();
+  const RunResult result = Simulation(*scenario).run();
   for (const std::string& line : result.trace) {
     std::cerr << line << "\n";
   }
@@ -127,9 +127,9 @@
   const bool json = options->text("format") == "json";
   std::cout << (json ? summariesToJson(*scenario, summaries) : formatSummaries(summaries));
   for (const VariantSummary& summary : summaries) {
-    if (!json && summary.variant == Variant::kCobaltgauge && !summary.badSeeds.empty()) {
+    if (!json && summary.variant == Variant::kCobaltgauge && !summary.failingSeeds.empty()) {
       std::cout << "seeds of cobaltgauge with violations:";
-      for (const std::uint64_t seed : summary.badSeeds) {
+      for (const std::uint64_t seed : summary.failingSeeds) {
         std::cout << " " << seed;
       }
       std::cout << "\n";
--- a/src/sim/packet_router.cc
+++ b/src/sim/packet_router.cc
@@ -8,7 +8,7 @@
 
 using core::Time;
 
-/// The product behind the router interface.
+/// Cobaltgauge behind the router interface.
 class CobaltgaugeRouter : public PacketRouter {
  public:
   CobaltgaugeRouter(const core::BalancerOptions& options, core::ConfigurationCompiler& compiler,
@@ -69,7 +69,7 @@
       const core::Service& service = configuration->services[i];
       if (service.virtualEndpoint == packet.flow.destination &&
           service.protocol == packet.flow.protocol) {
-        return choose(service, tables_[i], packet, now);
+        return selectBackend(service, tables_[i], packet, now);
       }
     }
     return core::Drop{core::DropReason::kNoService};
@@ -120,8 +120,8 @@
     }
   }
 
-  core::Verdict choose(const core::Service& service, const Table& table,
-                       const core::PacketSummary& packet, Time now) {
+  core::Verdict selectBackend(const core::Service& service, const Table& table,
+                              const core::PacketSummary& packet, Time now) {
     const core::FlowFingerprint fingerprint = core::fingerprintOf(packet.flow, options_.hashSeed);
     if (variant_ == Variant::kCachedTable) {
       const auto known = flows_.touch(fingerprint, now);
@@ -178,8 +178,8 @@
 }
 
 const core::Balancer* balancerOf(const PacketRouter& router) {
-  const auto* product = dynamic_cast<const CobaltgaugeRouter*>(&router);
-  return product == nullptr ? nullptr : &product->balancer();
+  const auto* cobaltgauge = dynamic_cast<const CobaltgaugeRouter*>(&router);
+  return cobaltgauge == nullptr ? nullptr : &cobaltgauge->balancer();
 }
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/scenario.cc
+++ b/src/sim/scenario.cc
@@ -21,13 +21,13 @@
 
 /// Five daemons in three zones of one region; 15 back ends of the first service, 4 of the second.
 Scenario makeDeployment(const char* name, const char* region, const std::string& zonePrefix,
-                        std::array<const char*, 2> services, core::Duration callerDelay) {
+                        std::array<const char*, 2> services, core::Duration clientDelay) {
   Scenario scenario;
   scenario.name = name;
   scenario.zones = {
       {zonePrefix + "1", region, 2}, {zonePrefix + "2", region, 2}, {zonePrefix + "3", region, 1}};
   scenario.services = {makeService(services[0], 15, 300), makeService(services[1], 4, 40)};
-  scenario.network.caller = callerDelay;
+  scenario.network.client = clientDelay;
   return scenario;
 }
 
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -26,7 +26,7 @@
   std::size_t slots = 2;
   std::size_t maxSessions = 2000;
   core::Duration serviceTime = std::chrono::milliseconds(2);
-  core::Duration coldTime = std::chrono::seconds(2);  ///< Executions take four times as long.
+  core::Duration warmUpTime = std::chrono::seconds(2);  ///< Executions take four times as long.
   core::Duration requestInterval = std::chrono::milliseconds(1000);  ///< Mean, per session.
   core::Duration sessionLifetime{0};  ///< Mean; zero: sessions stay open for the whole run.
   std::size_t fetchPercent = 20;      ///< Share of requests that fetch a large answer.
@@ -37,7 +37,7 @@
   core::Duration sameZone = std::chrono::microseconds(200);
   core::Duration crossZone = std::chrono::microseconds(1500);
   core::Duration crossRegion = std::chrono::milliseconds(30);
-  core::Duration caller = std::chrono::milliseconds(1);  ///< Between callers and the fabric.
+  core::Duration client = std::chrono::milliseconds(1);  ///< Between clients and the fabric.
   core::Duration jitter = std::chrono::microseconds(500);
   std::uint64_t lossPermille = 1;
   std::uint64_t duplicatePermille = 1;
@@ -47,10 +47,10 @@
   kKillDaemon,     ///< target: daemon
   kStopDaemon,     ///< planned stop; target: daemon
   kJoinDaemon,     ///< target: zone
-  kFreezeDaemon,   ///< target: daemon
-  kWakeDaemon,     ///< target: daemon
-  kCutZone,        ///< target: zone; nothing crosses its border
-  kHealZone,       ///< target: zone
+  kSuspendDaemon,  ///< target: daemon
+  kResumeDaemon,   ///< target: daemon
+  kPartitionZone,  ///< target: zone; nothing crosses its border
+  kRecoverZone,    ///< target: zone
   kDrainBackend,   ///< target: back end
   kRemoveBackend,  ///< target: back end; only after it was drained
   kAddBackend,     ///< target: service
@@ -84,10 +84,10 @@
   core::Duration platformLag{0};
   core::Duration platformPoll = std::chrono::milliseconds(500);
   core::Duration fabricLag = std::chrono::milliseconds(500);  ///< Until it notices a dead daemon.
-  core::Duration measureAfter{0};  ///< Control traffic and processor time count from here.
+  core::Duration measurementStart{0};  ///< Control traffic and processor time count from here.
   std::size_t flowTableEntries = 1U << 16U;  ///< Of each daemon.
   std::string traceSession;  ///< Every decision about this session's packets is explained.
-  core::Duration linger = std::chrono::milliseconds(1500);  ///< Of a planned stop.
+  core::Duration shutdownDelay = std::chrono::milliseconds(1500);  ///< Of a planned stop.
 };
 
 /// Cascadia Quote Desk: three halls in one region, rate-watch and packets.
--- a/src/sim/scenario_loader.cc
+++ b/src/sim/scenario_loader.cc
@@ -144,7 +144,7 @@
   reader.count("slots", service.slots);
   reader.count("max_sessions", service.maxSessions);
   reader.microseconds("service_us", service.serviceTime);
-  reader.milliseconds("cold_ms", service.coldTime);
+  reader.milliseconds("cold_ms", service.warmUpTime);
   reader.milliseconds("request_interval_ms", service.requestInterval);
   reader.milliseconds("session_lifetime_ms", service.sessionLifetime);
   reader.count("fetch_percent", service.fetchPercent);
@@ -178,7 +178,7 @@
   reader.microseconds("same_zone_us", network.sameZone);
   reader.microseconds("cross_zone_us", network.crossZone);
   reader.microseconds("cross_region_us", network.crossRegion);
-  reader.microseconds("caller_us", network.caller);
+  reader.microseconds("caller_us", network.client);
   reader.microseconds("jitter_us", network.jitter);
   reader.count("loss_permille", network.lossPermille);
   reader.count("duplicate_permille", network.duplicatePermille);
@@ -199,7 +199,7 @@
   reader.milliseconds("platform_lag_ms", scenario.platformLag);
   reader.milliseconds("platform_poll_ms", scenario.platformPoll);
   reader.milliseconds("fabric_lag_ms", scenario.fabricLag);
-  reader.milliseconds("linger_ms", scenario.linger);
+  reader.milliseconds("linger_ms", scenario.shutdownDelay);
   reader.count("flow_table_entries", scenario.flowTableEntries);
   for (const toml::table* zone : reader.tables("zone")) {
     scenario.zones.push_back(readZone(*zone, error));
--- a/src/sim/seeded_random.h
+++ b/src/sim/seeded_random.h
@@ -18,9 +18,9 @@
   /// @return true with a probability of `permille` in a thousand.
   bool chance(std::uint64_t permille) { return below(1000) < permille; }
   /// @return a duration between the two, both included.
-  core::Duration between(core::Duration least, core::Duration most) {
-    const auto span = static_cast<std::uint64_t>((most - least).count());
-    return least + core::Duration(static_cast<std::int64_t>(below(span + 1)));
+  core::Duration between(core::Duration min, core::Duration max) {
+    const auto span = static_cast<std::uint64_t>((max - min).count());
+    return min + core::Duration(static_cast<std::int64_t>(below(span + 1)));
   }
 
  private:
--- a/src/sim/simulated_backend.cc
+++ b/src/sim/simulated_backend.cc
@@ -5,20 +5,20 @@
 namespace cobaltgauge::sim {
 namespace {
 
-constexpr int kColdFactor = 4;
-constexpr std::size_t kMaxWaiting = 200;
+constexpr int kWarmUpSlowdown = 4;
+constexpr std::size_t kMaxQueuedJobs = 200;
 
 }  // namespace
 
 SimulatedBackend::SimulatedBackend(EventQueue& queue, const ServiceSpec& service, std::string name,
-                                   std::string zone, core::BackendAddress address, Answer answer,
-                                   Record record)
+                                   std::string zone, core::BackendAddress address,
+                                   SendResponse sendResponse, Record record)
     : queue_(queue),
       service_(service),
       name_(std::move(name)),
       zone_(std::move(zone)),
       address_(address),
-      answer_(std::move(answer)),
+      sendResponse_(std::move(sendResponse)),
       record_(std::move(record)),
       startedAt_(queue.now()) {}
 
@@ -27,23 +27,24 @@
   record_({timeMs, kind, name_, service_.name, request.session, request.request, detail});
 }
 
-void SimulatedBackend::onPacket(const core::BackendAddress& routed, const WorkRequest& request) {
-  if (routed.id != address_.id) {
-    record(EventKind::kStray, request, "refused by the back end");
+void SimulatedBackend::onPacket(const core::BackendAddress& destination,
+                                const WorkRequest& request) {
+  if (destination.id != address_.id) {
+    record(EventKind::kMisdelivered, request, "refused by the back end");
     return;
   }
   const auto key = std::make_pair(request.packet.flow, request.messageId);
-  const auto known = answered_.find(key);
-  if (known != answered_.end()) {
+  const auto cached = responses_.find(key);
+  if (cached != responses_.end()) {
     if (request.kind == WorkKind::kSubmit) {
-      record(EventKind::kRequestRepeated, request);
+      record(EventKind::kRequestDuplicate, request);
     }
-    if (known->second.finished) {
-      answer_(request.caller, known->second.answer);
+    if (cached->second.finished) {
+      sendResponse_(request.client, cached->second.response);
     }
     return;
   }
-  answered_[key] = {};
+  responses_[key] = {};
   if (request.kind == WorkKind::kOpen) {
     open(request);
   } else if (request.kind == WorkKind::kClose) {
@@ -72,22 +73,23 @@
 }
 
 void SimulatedBackend::submit(const WorkRequest& request) {
-  if (waiting_.size() >= kMaxWaiting) {
+  if (queuedJobs_.size() >= kMaxQueuedJobs) {
     reply(request, WorkResult::kNotRun);
     return;
   }
-  waiting_.push_back({request, queue_.now()});
+  queuedJobs_.push_back({request, queue_.now()});
   startJobs();
 }
 
 void SimulatedBackend::startJobs() {
-  while (busy_ < service_.slots && !waiting_.empty()) {
-    Job job = std::move(waiting_.front());
-    waiting_.pop_front();
-    queueing_.push_back(queue_.now() - job.queuedAt);
-    ++busy_;
-    const bool cold = queue_.now() - startedAt_ < service_.coldTime;
-    const core::Duration time = cold ? service_.serviceTime * kColdFactor : service_.serviceTime;
+  while (busySlots_ < service_.slots && !queuedJobs_.empty()) {
+    Job job = std::move(queuedJobs_.front());
+    queuedJobs_.pop_front();
+    queueDelays_.push_back(queue_.now() - job.queuedAt);
+    ++busySlots_;
+    const bool warmingUp = queue_.now() - startedAt_ < service_.warmUpTime;
+    const core::Duration time =
+        warmingUp ? service_.serviceTime * kWarmUpSlowdown : service_.serviceTime;
     queue_.after(time, [this, job = std::move(job)] { finish(job); });
   }
 }
@@ -95,14 +97,14 @@
 void SimulatedBackend::finish(const Job& job) {
   record(EventKind::kRequestExecuted, job.request);
   reply(job.request, WorkResult::kDone);
-  --busy_;
+  --busySlots_;
   startJobs();
 }
 
 void SimulatedBackend::reply(const WorkRequest& request, WorkResult result) {
-  const WorkAnswer answer{request.messageId, result, request.request, request.block};
-  answered_[{request.packet.flow, request.messageId}] = {true, answer};
-  answer_(request.caller, answer);
+  const WorkResponse response{request.messageId, result, request.request, request.block};
+  responses_[{request.packet.flow, request.messageId}] = {true, response};
+  sendResponse_(request.client, response);
 }
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/simulated_backend.h
+++ b/src/sim/simulated_backend.h
@@ -1,5 +1,5 @@
 /// @file
-/// A back end of the model: bounded connections, few slots, cold start, shedding; drops repeats.
+/// A back end of the model: bounded connections, few slots, slow start, shedding; drops repeats.
 #pragma once
 
 #include <deque>
@@ -19,31 +19,32 @@
 
 class SimulatedBackend {
  public:
-  using Answer = std::function<void(std::size_t caller, const WorkAnswer&)>;
+  using SendResponse = std::function<void(std::size_t client, const WorkResponse&)>;
   using Record = std::function<void(Event)>;
 
   SimulatedBackend(EventQueue& queue, const ServiceSpec& service, std::string name,
-                   std::string zone, core::BackendAddress address, Answer answer, Record record);
+                   std::string zone, core::BackendAddress address, SendResponse sendResponse,
+                   Record record);
 
-  /// Handles a packet that a daemon sent here by `routed`.
-  void onPacket(const core::BackendAddress& routed, const WorkRequest& request);
+  /// Handles a packet that a daemon sent here by `destination`.
+  void onPacket(const core::BackendAddress& destination, const WorkRequest& request);
 
   const std::string& name() const { return name_; }
   const std::string& zone() const { return zone_; }
   const core::BackendAddress& address() const { return address_; }
   std::size_t sessions() const { return sessions_.size(); }
   /// @return the time that each executed request waited for a slot.
-  const std::vector<core::Duration>& queueing() const { return queueing_; }
+  const std::vector<core::Duration>& queueDelays() const { return queueDelays_; }
 
  private:
   struct Job {
     WorkRequest request;
     core::Time queuedAt{};
   };
-  /// What was answered to a message; a repeat gets the same answer.
-  struct Answered {
+  /// What was answered to a message; a repeat gets the same response.
+  struct CachedResponse {
     bool finished = false;
-    WorkAnswer answer;
+    WorkResponse response;
   };
 
   void open(const WorkRequest& request);
@@ -58,14 +59,14 @@
   std::string name_;
   std::string zone_;
   core::BackendAddress address_;
-  Answer answer_;
+  SendResponse sendResponse_;
   Record record_;
   core::Time startedAt_;
   std::set<core::FlowKey> sessions_;
-  std::map<std::pair<core::FlowKey, std::uint32_t>, Answered> answered_;
-  std::deque<Job> waiting_;
-  std::size_t busy_ = 0;
-  std::vector<core::Duration> queueing_;
+  std::map<std::pair<core::FlowKey, std::uint32_t>, CachedResponse> responses_;
+  std::deque<Job> queuedJobs_;
+  std::size_t busySlots_ = 0;
+  std::vector<core::Duration> queueDelays_;
 };
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/simulated_caller.cc
+++ b/src/sim/simulated_client.cc
@@ -1,4 +1,4 @@
-#include "sim/simulated_caller.h"
+#include "sim/simulated_client.h"
 
 #include <algorithm>
 #include <utility>
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-SimulatedCaller::SimulatedCaller(EventQueue& queue, SeededRandom& random,
+SimulatedClient::SimulatedClient(EventQueue& queue, SeededRandom& random,
                                  const ServiceSpec& service, std::size_t index, std::string zone,
                                  core::FlowKey firstFlow, Send send, Record record)
     : queue_(queue),
@@ -28,25 +28,25 @@
       send_(std::move(send)),
       record_(std::move(record)) {}
 
-void SimulatedCaller::record(EventKind kind, const std::string& request, const char* detail) {
+void SimulatedClient::record(EventKind kind, const std::string& request, const char* detail) {
   const std::int64_t timeMs = queue_.now().count() / 1000;
   record_({timeMs, kind, session_, service_.name, session_, request, detail});
 }
 
-void SimulatedCaller::start(core::Duration delay) {
+void SimulatedClient::start(core::Duration delay) {
   beginSession();
-  queue_.after(delay, [this] { next(); });
+  queue_.after(delay, [this] { startExchange(); });
 }
 
-void SimulatedCaller::beginSession() {
+void SimulatedClient::beginSession() {
   session_ = "s" + std::to_string(index_) + "." + std::to_string(++sessionCount_);
   opened_ = false;
   requests_ = 0;
-  // Every session of a caller is a flow of its own.
+  // Every session of a client is a flow of its own.
   ++flow_.source.port;
 }
 
-void SimulatedCaller::next() {
+void SimulatedClient::startExchange() {
   if (ended_ || queue_.now() >= stopAt_) {
     return;
   }
@@ -67,7 +67,7 @@
   send(WorkKind::kSubmit, request, 0);
 }
 
-void SimulatedCaller::send(WorkKind kind, const std::string& request, std::uint32_t block) {
+void SimulatedClient::send(WorkKind kind, const std::string& request, std::uint32_t block) {
   core::PacketKind packetKind = core::PacketKind::kUnknown;
   if (flow_.protocol == core::Protocol::kTcp) {
     packetKind =
@@ -81,12 +81,12 @@
   transmit(++exchange_);
 }
 
-void SimulatedCaller::transmit(std::uint64_t exchange) {
+void SimulatedClient::transmit(std::uint64_t exchange) {
   if (exchange != exchange_ || !waiting_) {
     return;
   }
   if (transmissions_ == kMaxTransmissions) {
-    giveUp();
+    abandonRequest();
     return;
   }
   send_(pending_);
@@ -95,26 +95,26 @@
   queue_.after(timeout, [this, exchange] { transmit(exchange); });
 }
 
-void SimulatedCaller::giveUp() {
+void SimulatedClient::abandonRequest() {
   if (pending_.kind == WorkKind::kSubmit) {
-    record(EventKind::kRequestUnknown, pending_.request, "no answer");
+    record(EventKind::kRequestOutcomeUnknown, pending_.request, "no answer");
   }
-  finish();
+  finishExchange();
 }
 
-void SimulatedCaller::finish() {
+void SimulatedClient::finishExchange() {
   waiting_ = false;
   const core::Duration pause =
       opened_ ? random_.between(service_.requestInterval / 2, service_.requestInterval * 3 / 2)
               : kReopenDelay;
-  queue_.after(pause, [this] { next(); });
+  queue_.after(pause, [this] { startExchange(); });
 }
 
-void SimulatedCaller::onAnswer(const WorkAnswer& answer) {
-  if (!waiting_ || answer.messageId != pending_.messageId) {
-    return;  // A late or repeated answer of an earlier exchange.
+void SimulatedClient::onResponse(const WorkResponse& response) {
+  if (!waiting_ || response.messageId != pending_.messageId) {
+    return;  // A late or repeated response of an earlier exchange.
   }
-  if (answer.result == WorkResult::kNoSession) {
+  if (response.result == WorkResult::kNoSession) {
     record(EventKind::kSessionBroken);
     ended_ = true;
     waiting_ = false;
@@ -122,7 +122,7 @@
   }
   switch (pending_.kind) {
     case WorkKind::kOpen:
-      if (answer.result == WorkResult::kDone) {
+      if (response.result == WorkResult::kDone) {
         opened_ = true;
         record(EventKind::kSessionOpened);
         const core::Duration mean = service_.sessionLifetime;
@@ -130,48 +130,48 @@
                        ? core::Duration::max()
                        : queue_.now() + random_.between(mean / 2, mean * 3 / 2);
       }
-      finish();
+      finishExchange();
       break;
     case WorkKind::kSubmit:
-      onSubmitAnswer(answer);
-      finish();
+      onSubmitResponse(response);
+      finishExchange();
       break;
     case WorkKind::kFetch:
-      onFetchAnswer(answer);
+      onFetchResponse(response);
       break;
     case WorkKind::kClose:
       beginSession();
-      finish();
+      finishExchange();
       break;
   }
 }
 
-void SimulatedCaller::onSubmitAnswer(const WorkAnswer& answer) {
-  if (answer.result == WorkResult::kNotRun) {
+void SimulatedClient::onSubmitResponse(const WorkResponse& response) {
+  if (response.result == WorkResult::kNotRun) {
     record(EventKind::kRequestRefused, pending_.request);
-  } else if (answer.result == WorkResult::kOutcomeUnknown) {
-    record(EventKind::kRequestUnknown, pending_.request);
-  } else if (answer.request == pending_.request) {
+  } else if (response.result == WorkResult::kOutcomeUnknown) {
+    record(EventKind::kRequestOutcomeUnknown, pending_.request);
+  } else if (response.request == pending_.request) {
     record(EventKind::kRequestDone, pending_.request);
   } else {
-    record(EventKind::kAnswerWrong, pending_.request, "answer of another request");
+    record(EventKind::kResponseInvalid, pending_.request, "answer of another request");
   }
 }
 
-void SimulatedCaller::onFetchAnswer(const WorkAnswer& answer) {
-  if (answer.result != WorkResult::kDone) {
-    finish();
+void SimulatedClient::onFetchResponse(const WorkResponse& response) {
+  if (response.result != WorkResult::kDone) {
+    finishExchange();
     return;
   }
-  if (answer.request != pending_.request || answer.block != pending_.block) {
-    record(EventKind::kAnswerWrong, pending_.request, "another block or answer");
-    finish();
-  } else if (pending_.block + 1 < kFetchBlocks) {
+  if (response.request != pending_.request || response.block != pending_.block) {
+    record(EventKind::kResponseInvalid, pending_.request, "another block or answer");
+    finishExchange();
+  } else if (pending_.block + 1 < kResponseBlocks) {
     const std::string request = pending_.request;
     send(WorkKind::kFetch, request, pending_.block + 1);
   } else {
-    record(EventKind::kAnswerWhole, pending_.request);
-    finish();
+    record(EventKind::kResponseComplete, pending_.request);
+    finishExchange();
   }
 }
 
--- a/src/sim/simulated_caller.h
+++ b/src/sim/simulated_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// One caller of the model. It holds one standing session at a time: opens, submits requests that
+/// One client of the model. It holds one standing session at a time: opens, submits requests that
 /// may not be repeated, fetches large answers, retransmits, and records what it was told.
 #pragma once
 
@@ -14,31 +14,31 @@
 
 namespace cobaltgauge::sim {
 
-class SimulatedCaller {
+class SimulatedClient {
  public:
   using Send = std::function<void(const WorkRequest&)>;
   using Record = std::function<void(Event)>;
 
-  SimulatedCaller(EventQueue& queue, SeededRandom& random, const ServiceSpec& service,
+  SimulatedClient(EventQueue& queue, SeededRandom& random, const ServiceSpec& service,
                   std::size_t index, std::string zone, core::FlowKey firstFlow, Send send,
                   Record record);
 
   void start(core::Duration delay);
   /// No new request is begun after this time.
   void stopAt(core::Time time) { stopAt_ = time; }
-  void onAnswer(const WorkAnswer& answer);
+  void onResponse(const WorkResponse& response);
 
   const std::string& zone() const { return zone_; }
 
  private:
-  void next();
+  void startExchange();
   void beginSession();
   void send(WorkKind kind, const std::string& request, std::uint32_t block);
   void transmit(std::uint64_t exchange);
-  void giveUp();
-  void finish();
-  void onSubmitAnswer(const WorkAnswer& answer);
-  void onFetchAnswer(const WorkAnswer& answer);
+  void abandonRequest();
+  void finishExchange();
+  void onSubmitResponse(const WorkResponse& response);
+  void onFetchResponse(const WorkResponse& response);
   void record(EventKind kind, const std::string& request = {}, const char* detail = "");
 
   EventQueue& queue_;
--- a/src/sim/simulated_daemon.cc
+++ b/src/sim/simulated_daemon.cc
@@ -36,15 +36,15 @@
   if (!alive_) {
     return;
   }
-  if (!frozen_) {
+  if (!suspended_) {
     work();
   } else if (inbox_.size() < kSocketBufferDatagrams) {
     inbox_.push_back(std::move(work));
   }
 }
 
-void SimulatedDaemon::wake() {
-  frozen_ = false;
+void SimulatedDaemon::resume() {
+  suspended_ = false;
   while (!inbox_.empty()) {
     const std::function<void()> work = std::move(inbox_.front());
     inbox_.pop_front();
--- a/src/sim/simulated_daemon.h
+++ b/src/sim/simulated_daemon.h
@@ -31,12 +31,12 @@
   /// Hands work to the process: done now, kept while it is suspended, lost when it is dead.
   void deliver(std::function<void()> work);
 
-  void freeze() { frozen_ = true; }
-  /// Runs everything that waited, in order, before any tick: a late wake-up acts on its old view.
-  void wake();
+  void suspend() { suspended_ = true; }
+  /// Runs everything that waited, in order, before any tick: a late resume acts on its old view.
+  void resume();
   void kill() { alive_ = false; }
 
-  bool runs() const { return alive_ && !frozen_; }
+  bool runs() const { return alive_ && !suspended_; }
   bool isAlive() const { return alive_; }
   PacketRouter& router() { return *router_; }
   const PacketRouter& router() const { return *router_; }
@@ -45,11 +45,11 @@
   const std::string& zone() const { return identity_.zone; }
 
   /// The fabric sends packets here until this time.
-  core::Time sprayedUntil{core::Duration::max()};
+  core::Time receivesUntil{core::Duration::max()};
   core::Time startedAt{};
   core::Time endedAt{core::Duration::max()};
-  core::Time leavingSince{};  ///< Zero while no planned stop was asked for.
-  core::Time nextRead{};
+  core::Time stopRequestedAt{};  ///< Zero while no planned stop was asked for.
+  core::Time nextPlatformRead{};
   core::ConfigurationVersion reportedVersion = 0;
   ControlTraffic traffic;
 
@@ -59,7 +59,7 @@
   std::unique_ptr<PacketRouter> router_;
   std::deque<std::function<void()>> inbox_;
   bool alive_ = true;
-  bool frozen_ = false;
+  bool suspended_ = false;
 };
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/simulated_platform.cc
+++ b/src/sim/simulated_platform.cc
@@ -18,7 +18,7 @@
                         {"port", backend.endpoint.port},
                         {"incarnation", backend.incarnation},
                         {"zone", backend.zone},
-                        {"state", backend.leaving ? "leaving" : "active"}});
+                        {"state", backend.draining ? "leaving" : "active"}});
   }
   const bool udp = service.spec.protocol == core::Protocol::kUdp;
   const nlohmann::json object{{"name", service.spec.name},
@@ -69,9 +69,9 @@
   return version;
 }
 
-void SimulatedPlatform::publishRival(core::Time now) {
+void SimulatedPlatform::publishConflicting(core::Time now) {
   published_.back().at = now;
-  published_.back().rival = makeDocument(published_.size());
+  published_.back().conflicting = makeDocument(published_.size());
 }
 
 std::optional<core::ConfigurationDocument> SimulatedPlatform::read(core::Time now,
@@ -88,7 +88,7 @@
       visible = &candidate;
     }
   }
-  return visible->rival && reader % 2 == 1 ? *visible->rival : visible->document;
+  return visible->conflicting && reader % 2 == 1 ? *visible->conflicting : visible->document;
 }
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/simulated_platform.h
+++ b/src/sim/simulated_platform.h
@@ -20,7 +20,7 @@
   std::string zone;
   core::Endpoint endpoint;
   std::uint32_t incarnation = 1;
-  bool leaving = false;
+  bool draining = false;
 };
 
 /// One service as the operator lists it.
@@ -43,12 +43,12 @@
   /// Publishes the present services as the next version. @return the version.
   core::ConfigurationVersion publish(core::Time now);
   /// Publishes the present services as a second content of the latest version.
-  void publishRival(core::Time now);
+  void publishConflicting(core::Time now);
 
   void setDown(bool down) { down_ = down; }
   void setStale(bool stale) { stale_ = stale; }
 
-  /// @param reader readers with odd numbers see the rival content where there is one.
+  /// @param reader readers with odd numbers see the conflicting content where there is one.
   /// @return what a reader gets now, nothing while the platform is down.
   std::optional<core::ConfigurationDocument> read(core::Time now, std::size_t reader) const;
 
@@ -56,7 +56,7 @@
   struct Published {
     core::Time at{};
     core::ConfigurationDocument document;
-    std::optional<core::ConfigurationDocument> rival;
+    std::optional<core::ConfigurationDocument> conflicting;
   };
 
   core::ConfigurationDocument makeDocument(core::ConfigurationVersion version) const;
--- a/src/sim/world.cc
+++ b/src/sim/simulation.cc
@@ -1,6 +1,6 @@
 /// @file
 /// Set-up and summary of the simulated world.
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 #include <algorithm>
 #include <ctime>
@@ -14,11 +14,11 @@
 constexpr std::uint16_t kControlPort = 7000;
 constexpr std::uint16_t kBackendPort = 8000;
 constexpr std::uint16_t kServicePort = 5683;
-constexpr std::uint16_t kCallerPort = 20000;
-constexpr core::Duration kFleetHeadStart = std::chrono::seconds(6);
-constexpr core::Duration kOpenSpread = std::chrono::seconds(3);
+constexpr std::uint16_t kClientPort = 20000;
+constexpr core::Duration kFleetStartupTime = std::chrono::seconds(6);
+constexpr core::Duration kOpenWindow = std::chrono::seconds(3);
 /// Requests under way at the end get this long to finish.
-constexpr core::Duration kQuietEnd = std::chrono::seconds(20);
+constexpr core::Duration kCompletionTime = std::chrono::seconds(20);
 
 /// @return 10.`network`.x.y with the number in the last two parts.
 core::IpAddress makeAddress(std::uint8_t network, std::uint32_t number) {
@@ -28,7 +28,7 @@
   return address;
 }
 
-double processorSeconds() {
+double cpuSeconds() {
   timespec used{};
   clock_gettime(CLOCK_THREAD_CPUTIME_ID, &used);
   constexpr double kNanosecond = 1e-9;
@@ -37,7 +37,7 @@
 
 }  // namespace
 
-World::World(const Scenario& scenario)
+Simulation::Simulation(const Scenario& scenario)
     : scenario_(scenario),
       random_(scenario.seed),
       codec_("simulation", "key of the simulation", core::kNoMember),
@@ -52,13 +52,13 @@
       startDaemon(zone.name);
     }
   }
-  buildCallers();
+  buildClients();
   for (const FaultSpec& fault : scenario_.faults) {
     queue_.at(fault.at, [this, fault] { applyFault(fault); });
   }
 }
 
-void World::buildServices() {
+void Simulation::buildServices() {
   std::uint32_t serviceNumber = 0;
   for (const ServiceSpec& spec : scenario_.services) {
     ListedService service;
@@ -82,22 +82,22 @@
   }
 }
 
-SimulatedBackend& World::startBackend(ListedService& service, const ListedBackend& backend) {
+SimulatedBackend& Simulation::startBackend(ListedService& service, const ListedBackend& backend) {
   const core::ServiceId id = core::serviceIdOf(service.spec.name);
   const core::BackendAddress address{core::backendIdOf(id, backend.endpoint, backend.incarnation),
                                      id, backend.endpoint, backend.incarnation};
   const std::string zone = backend.zone;
   backends_.push_back(std::make_unique<SimulatedBackend>(
       queue_, service.spec, backend.name, zone, address,
-      [this, zone](std::size_t caller, const WorkAnswer& answer) {
-        answerCaller(caller, zone, answer);
+      [this, zone](std::size_t client, const WorkResponse& answer) {
+        sendResponse(client, zone, answer);
       },
       [this](Event event) { record(std::move(event)); }));
   backendsByEndpoint_[backend.endpoint] = backends_.back().get();
   return *backends_.back();
 }
 
-World::DaemonPtr World::startDaemon(const std::string& zone) {
+Simulation::DaemonPtr Simulation::startDaemon(const std::string& zone) {
   const std::uint32_t number = nextDaemonNumber_++;
   core::MemberIdentity identity;
   identity.name = zone + "-lb-" + std::to_string(number);
@@ -114,42 +114,42 @@
   return daemon;
 }
 
-void World::buildCallers() {
+void Simulation::buildClients() {
   std::size_t index = 0;
   for (const ListedService& service : platform_.services()) {
     for (std::size_t i = 0; i < service.spec.sessions; ++i, ++index) {
       const std::string zone = scenario_.zones[index % scenario_.zones.size()].name;
       const core::FlowKey flow{service.spec.protocol,
-                               {makeAddress(93, static_cast<std::uint32_t>(index)), kCallerPort},
+                               {makeAddress(93, static_cast<std::uint32_t>(index)), kClientPort},
                                service.virtualEndpoint};
-      callers_.push_back(std::make_unique<SimulatedCaller>(
+      clients_.push_back(std::make_unique<SimulatedClient>(
           queue_, random_, service.spec, index, zone, flow,
-          [this](const WorkRequest& request) { onCallerPacket(request); },
+          [this](const WorkRequest& request) { onClientPacket(request); },
           [this](Event event) { record(std::move(event)); }));
-      callers_.back()->stopAt(kFleetHeadStart + scenario_.duration);
-      callers_.back()->start(kFleetHeadStart + random_.between(core::Duration(0), kOpenSpread));
+      clients_.back()->stopAt(kFleetStartupTime + scenario_.duration);
+      clients_.back()->start(kFleetStartupTime + random_.between(core::Duration(0), kOpenWindow));
     }
   }
 }
 
-void World::record(EventKind kind, const std::string& actor, const std::string& detail) {
+void Simulation::record(EventKind kind, const std::string& actor, const std::string& detail) {
   record({queue_.now().count() / 1000, kind, actor, "", "", "", detail});
 }
 
-void World::beginMeasurement() {
-  measuredFrom_ = queue_.now();
-  processorSecondsAtStart_ = processorSeconds();
+void Simulation::beginMeasurement() {
+  measurementStart_ = queue_.now();
+  cpuSecondsAtStart_ = cpuSeconds();
   for (const DaemonPtr& daemon : daemons_) {
     daemon->traffic = ControlTraffic{};
   }
 }
 
-void World::summarizeControl(RunResult& result) const {
+void Simulation::summarizeControl(RunResult& result) const {
   double daemonSeconds = 0;
   std::uint64_t bytes = 0;
   std::uint64_t messages = 0;
   for (const DaemonPtr& daemon : daemons_) {
-    const core::Time begin = std::max(daemon->startedAt, measuredFrom_);
+    const core::Time begin = std::max(daemon->startedAt, measurementStart_);
     const core::Time end = std::min(daemon->endedAt, queue_.now());
     daemonSeconds += std::max(0.0, std::chrono::duration<double>(end - begin).count());
     bytes += daemon->traffic.bytes;
@@ -163,23 +163,23 @@
   }
   result.controlBytesPerSecond = static_cast<double>(bytes) / daemonSeconds;
   result.controlMessagesPerSecond = static_cast<double>(messages) / daemonSeconds;
-  result.coreShare = (processorSeconds() - processorSecondsAtStart_) / daemonSeconds;
+  result.cpuUsage = (cpuSeconds() - cpuSecondsAtStart_) / daemonSeconds;
 }
 
-RunResult World::run() {
-  queue_.at(scenario_.measureAfter, [this] { beginMeasurement(); });
-  queue_.runUntil(kFleetHeadStart + scenario_.duration + kQuietEnd);
+RunResult Simulation::run() {
+  queue_.at(scenario_.measurementStart, [this] { beginMeasurement(); });
+  queue_.runUntil(kFleetStartupTime + scenario_.duration + kCompletionTime);
   return summarize();
 }
 
-RunResult World::summarize() {
+RunResult Simulation::summarize() {
   RunResult result;
   for (const ListedService& service : platform_.services()) {
     std::size_t total = 0;
     std::size_t largest = 0;
     std::size_t count = 0;
     for (const ListedBackend& listed : service.backends) {
-      if (!listed.leaving) {
+      if (!listed.draining) {
         const std::size_t sessions = backendsByEndpoint_.at(listed.endpoint)->sessions();
         total += sessions;
         largest = std::max(largest, sessions);
@@ -189,15 +189,16 @@
     result.finalImbalance[service.spec.name] =
         total == 0 ? 0 : static_cast<double>(largest * count) / static_cast<double>(total);
   }
-  std::vector<core::Duration> queueing;
+  std::vector<core::Duration> queueDelays;
   for (const auto& backend : backends_) {
-    queueing.insert(queueing.end(), backend->queueing().begin(), backend->queueing().end());
+    queueDelays.insert(queueDelays.end(), backend->queueDelays().begin(),
+                       backend->queueDelays().end());
   }
-  if (!queueing.empty()) {
-    const std::size_t rank = queueing.size() * 99 / 100;
-    std::nth_element(queueing.begin(), queueing.begin() + static_cast<std::ptrdiff_t>(rank),
-                     queueing.end());
-    result.queueingP99Ms = std::chrono::duration<double, std::milli>(queueing[rank]).count();
+  if (!queueDelays.empty()) {
+    const std::size_t rank = queueDelays.size() * 99 / 100;
+    std::nth_element(queueDelays.begin(), queueDelays.begin() + static_cast<std::ptrdiff_t>(rank),
+                     queueDelays.end());
+    result.queueDelayP99Ms = std::chrono::duration<double, std::milli>(queueDelays[rank]).count();
   }
   std::size_t alive = 0;
   for (const DaemonPtr& daemon : daemons_) {
--- a/src/sim/world.h
+++ b/src/sim/simulation.h
@@ -1,5 +1,5 @@
 /// @file
-/// The simulated world: network, fabric, platform, daemons, back ends and callers in virtual time.
+/// The simulated world: network, fabric, platform, daemons, back ends and clients in virtual time.
 /// Runs the daemons' own core and records a history for the checker.
 #pragma once
 
@@ -16,7 +16,7 @@
 #include "sim/scenario.h"
 #include "sim/seeded_random.h"
 #include "sim/simulated_backend.h"
-#include "sim/simulated_caller.h"
+#include "sim/simulated_client.h"
 #include "sim/simulated_daemon.h"
 #include "sim/simulated_platform.h"
 
@@ -28,11 +28,11 @@
   std::vector<Event> history;
   /// Sessions per back end at the end, largest over mean, by service; leaving ones not counted.
   std::map<std::string, double> finalImbalance;
-  double queueingP99Ms = 0;
+  double queueDelayP99Ms = 0;
   double controlBytesPerSecond = 0;                  ///< Sent, mean per daemon.
   double controlMessagesPerSecond = 0;               ///< Sent, mean per daemon.
   std::map<std::string, double> controlBytesByKind;  ///< Sent, per second, mean per daemon.
-  double coreShare = 0;  ///< Processor seconds per second and daemon, the simulator's included.
+  double cpuUsage = 0;  ///< Processor seconds per second and daemon, the simulator's included.
   double flowStateBytes = 0;  ///< Mean per daemon at the end.
   std::map<std::string, std::uint64_t> drops;
   std::vector<std::string> trace;  ///< One line per decision about the traced session.
@@ -41,9 +41,9 @@
   std::uint64_t packetsToBackends = 0;
 };
 
-class World {
+class Simulation {
  public:
-  explicit World(const Scenario& scenario);
+  explicit Simulation(const Scenario& scenario);
 
   /// Runs the scenario to its end and checks its history.
   RunResult run();
@@ -51,33 +51,33 @@
  private:
   using DaemonPtr = std::shared_ptr<SimulatedDaemon>;
 
-  // Set-up (world.cc).
+  // Set-up (simulation.cc).
   void buildServices();
-  void buildCallers();
+  void buildClients();
   DaemonPtr startDaemon(const std::string& zone);
   SimulatedBackend& startBackend(ListedService& service, const ListedBackend& backend);
 
-  // Traffic (world_traffic.cc).
+  // Traffic (simulation_traffic.cc).
   void tickDaemon(const DaemonPtr& daemon);
   void readPlatform(const DaemonPtr& daemon);
-  void onCallerPacket(const WorkRequest& request);
-  void carryOut(const DaemonPtr& daemon, const core::Verdict& verdict, const WorkRequest& request,
-                core::MemberId ingress);
+  void onClientPacket(const WorkRequest& request);
+  void executeVerdict(const DaemonPtr& daemon, const core::Verdict& verdict,
+                      const WorkRequest& request, core::MemberId ingress);
   void flush(const DaemonPtr& daemon);
   void transmit(const std::string& fromZone, const std::string& toZone,
                 const std::function<void()>& arrive);
-  void answerCaller(std::size_t caller, const std::string& fromZone, const WorkAnswer& answer);
+  void sendResponse(std::size_t client, const std::string& fromZone, const WorkResponse& response);
   DaemonPtr findByControl(const core::Endpoint& control) const;
-  bool isCut(const std::string& a, const std::string& b) const;
+  bool isPartitioned(const std::string& a, const std::string& b) const;
   core::Duration delayBetween(const std::string& a, const std::string& b) const;
 
-  // Explanations (world_trace.cc).
+  // Explanations (simulation_trace.cc).
   void trace(const SimulatedDaemon& daemon, const core::Verdict& verdict,
              const WorkRequest& request);
   std::string describe(const core::Verdict& verdict) const;
   std::string backendName(const core::Balancer& balancer, core::BackendId id) const;
 
-  // Faults and operators (world_faults.cc).
+  // Faults and operators (simulation_faults.cc).
   void applyFault(const FaultSpec& fault);
   void applyDaemonFault(const FaultSpec& fault);
   void applyOperatorAction(const FaultSpec& fault);
@@ -104,14 +104,14 @@
   std::map<core::Endpoint, DaemonPtr> daemonsByControl_;
   std::vector<std::unique_ptr<SimulatedBackend>> backends_;
   std::map<core::Endpoint, SimulatedBackend*> backendsByEndpoint_;
-  std::vector<std::unique_ptr<SimulatedCaller>> callers_;
+  std::vector<std::unique_ptr<SimulatedClient>> clients_;
   std::map<std::string, std::string> regions_;
-  std::set<std::string> cutZones_;
+  std::set<std::string> partitionedZones_;
   std::vector<Event> history_;
   std::map<std::string, std::uint64_t> drops_;
   std::vector<std::string> trace_;
-  core::Time measuredFrom_{};
-  double processorSecondsAtStart_ = 0;
+  core::Time measurementStart_{};
+  double cpuSecondsAtStart_ = 0;
   std::uint64_t packetsToPeers_ = 0;
   std::uint64_t packetsToBackends_ = 0;
   std::uint32_t nextDaemonNumber_ = 1;
--- a/src/sim/world_faults.cc
+++ b/src/sim/simulation_faults.cc
@@ -2,11 +2,11 @@
 /// Faults and operators' actions of the simulated world.
 #include <algorithm>
 
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace cobaltgauge::sim {
 
-World::DaemonPtr World::findDaemon(const std::string& name) const {
+Simulation::DaemonPtr Simulation::findDaemon(const std::string& name) const {
   for (const DaemonPtr& daemon : daemons_) {
     if (daemon->name() == name) {
       return daemon;
@@ -15,28 +15,28 @@
   return nullptr;
 }
 
-void World::publish() {
+void Simulation::publish() {
   const core::ConfigurationVersion version = platform_.publish(queue_.now());
   record(EventKind::kConfigurationPublished, "operator", std::to_string(version));
 }
 
-void World::applyFault(const FaultSpec& fault) {
+void Simulation::applyFault(const FaultSpec& fault) {
   record(EventKind::kFault, "operator", std::string(toString(fault.kind)) + " " + fault.target);
   switch (fault.kind) {
     case FaultKind::kKillDaemon:
     case FaultKind::kStopDaemon:
-    case FaultKind::kFreezeDaemon:
-    case FaultKind::kWakeDaemon:
+    case FaultKind::kSuspendDaemon:
+    case FaultKind::kResumeDaemon:
       applyDaemonFault(fault);
       break;
     case FaultKind::kJoinDaemon:
       startDaemon(fault.target);
       break;
-    case FaultKind::kCutZone:
-      cutZones_.insert(fault.target);
+    case FaultKind::kPartitionZone:
+      partitionedZones_.insert(fault.target);
       break;
-    case FaultKind::kHealZone:
-      cutZones_.erase(fault.target);
+    case FaultKind::kRecoverZone:
+      partitionedZones_.erase(fault.target);
       break;
     case FaultKind::kPlatformDown:
       platform_.setDown(true);
@@ -55,7 +55,7 @@
   }
 }
 
-void World::applyDaemonFault(const FaultSpec& fault) {
+void Simulation::applyDaemonFault(const FaultSpec& fault) {
   const DaemonPtr daemon = findDaemon(fault.target);
   if (daemon == nullptr || !daemon->isAlive()) {
     return;
@@ -64,26 +64,26 @@
     case FaultKind::kKillDaemon:
       daemon->kill();
       daemon->endedAt = queue_.now();
-      daemon->sprayedUntil = queue_.now() + scenario_.fabricLag;
+      daemon->receivesUntil = queue_.now() + scenario_.fabricLag;
       break;
     case FaultKind::kStopDaemon:
-      daemon->leavingSince = queue_.now();
-      daemon->sprayedUntil = queue_.now() + scenario_.fabricLag;
+      daemon->stopRequestedAt = queue_.now();
+      daemon->receivesUntil = queue_.now() + scenario_.fabricLag;
       daemon->deliver([this, daemon] {
         daemon->router().beginLeaving(queue_.now());
         flush(daemon);
       });
       break;
-    case FaultKind::kFreezeDaemon:
-      daemon->freeze();
+    case FaultKind::kSuspendDaemon:
+      daemon->suspend();
       break;
     default:
-      daemon->wake();
+      daemon->resume();
       break;
   }
 }
 
-void World::applyOperatorAction(const FaultSpec& fault) {
+void Simulation::applyOperatorAction(const FaultSpec& fault) {
   switch (fault.kind) {
     case FaultKind::kDrainBackend:
       drainBackend(fault.target);
@@ -113,7 +113,7 @@
       publish();
       if (!platform_.services().empty()) {
         platform_.services().front().policy += " -- rival";
-        platform_.publishRival(queue_.now());
+        platform_.publishConflicting(queue_.now());
       }
       break;
     default:
@@ -121,22 +121,22 @@
   }
 }
 
-void World::drainBackend(const std::string& name) {
+void Simulation::drainBackend(const std::string& name) {
   const auto [service, backend] = platform_.findBackend(name);
-  if (backend == nullptr || backend->leaving) {
+  if (backend == nullptr || backend->draining) {
     return;
   }
   const auto active = std::count_if(service->backends.begin(), service->backends.end(),
-                                    [](const ListedBackend& item) { return !item.leaving; });
+                                    [](const ListedBackend& item) { return !item.draining; });
   if (active < 2) {
     return;  // An operator does not drain the last back end.
   }
-  backend->leaving = true;
-  record(EventKind::kBackendLeaving, name, "");
+  backend->draining = true;
+  record(EventKind::kBackendDraining, name, "");
   publish();
 }
 
-void World::addBackend(const std::string& serviceName) {
+void Simulation::addBackend(const std::string& serviceName) {
   ListedService* service = platform_.findService(serviceName);
   if (service == nullptr) {
     return;
@@ -145,7 +145,7 @@
   ListedBackend backend = service->backends.front();
   backend.name = serviceName + "-new-" + std::to_string(number);
   backend.zone = scenario_.zones[number % scenario_.zones.size()].name;
-  backend.leaving = false;
+  backend.draining = false;
   backend.incarnation = 1;
   backend.endpoint.address.bytes[2] = static_cast<std::uint8_t>(number >> 8U);
   backend.endpoint.address.bytes[3] = static_cast<std::uint8_t>(number & 0xffU);
@@ -154,9 +154,9 @@
   publish();
 }
 
-void World::removeBackend(const std::string& name) {
+void Simulation::removeBackend(const std::string& name) {
   const auto [service, backend] = platform_.findBackend(name);
-  if (backend == nullptr || !backend->leaving) {
+  if (backend == nullptr || !backend->draining) {
     return;  // Only a back end that was drained is removed.
   }
   std::erase_if(service->backends,
@@ -164,9 +164,9 @@
   publish();
 }
 
-void World::reuseAddress(const std::string& name) {
+void Simulation::reuseAddress(const std::string& name) {
   const auto [service, backend] = platform_.findBackend(name);
-  if (backend == nullptr || !backend->leaving || platform_.services().size() < 2) {
+  if (backend == nullptr || !backend->draining || platform_.services().size() < 2) {
     return;
   }
   const SimulatedBackend* old = backendsByEndpoint_.at(backend->endpoint);
@@ -175,7 +175,7 @@
   }
   ListedBackend moved = *backend;
   moved.name = name + "-reused";
-  moved.leaving = false;
+  moved.draining = false;
   ++moved.incarnation;
   ListedService& next = &platform_.services().front() == service ? platform_.services().back()
                                                                  : platform_.services().front();
--- a/src/sim/world_trace.cc
+++ b/src/sim/simulation_trace.cc
@@ -2,7 +2,7 @@
 /// Explains every decision about one session, for the search of causes.
 #include <sstream>
 
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace cobaltgauge::sim {
 namespace {
@@ -28,19 +28,19 @@
 
 }  // namespace
 
-std::string World::backendName(const core::Balancer& balancer, core::BackendId id) const {
+std::string Simulation::backendName(const core::Balancer& balancer, core::BackendId id) const {
   const core::BackendAddress* address = balancer.findBackend(id);
   return address == nullptr ? "-" : backendsByEndpoint_.at(address->endpoint)->name();
 }
 
-std::string World::describe(const core::Verdict& verdict) const {
+std::string Simulation::describe(const core::Verdict& verdict) const {
   if (const auto* forward = std::get_if<core::ForwardToBackend>(&verdict)) {
     return "to " + backendsByEndpoint_.at(forward->backend.endpoint)->name() + " by " +
            core::toString(forward->reason);
   }
-  if (const auto* pass = std::get_if<core::ForwardToPeer>(&verdict)) {
-    return "to peer " + findByControl(pass->destination)->name() + ", hop " +
-           std::to_string(pass->hops);
+  if (const auto* peerForward = std::get_if<core::ForwardToPeer>(&verdict)) {
+    return "to peer " + findByControl(peerForward->destination)->name() + ", hop " +
+           std::to_string(peerForward->hops);
   }
   if (const auto* refusal = std::get_if<core::Refuse>(&verdict)) {
     return std::string("refused: ") + core::toString(refusal->reason);
@@ -48,8 +48,8 @@
   return std::string("dropped: ") + core::toString(std::get<core::Drop>(verdict).reason);
 }
 
-void World::trace(const SimulatedDaemon& daemon, const core::Verdict& verdict,
-                  const WorkRequest& request) {
+void Simulation::trace(const SimulatedDaemon& daemon, const core::Verdict& verdict,
+                       const WorkRequest& request) {
   std::ostringstream line;
   line << "t=" << queue_.now().count() / 1000 << "ms " << daemon.name() << " v"
        << daemon.router().versionInForce() << " " << kindName(request.kind) << " "
--- a/src/sim/world_traffic.cc
+++ b/src/sim/simulation_traffic.cc
@@ -1,7 +1,7 @@
 /// @file
 /// Packets and messages of the simulated world.
 #include "core/constants.h"
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace cobaltgauge::sim {
 namespace {
@@ -11,11 +11,11 @@
 
 }  // namespace
 
-bool World::isCut(const std::string& a, const std::string& b) const {
-  return a != b && (cutZones_.contains(a) || cutZones_.contains(b));
+bool Simulation::isPartitioned(const std::string& a, const std::string& b) const {
+  return a != b && (partitionedZones_.contains(a) || partitionedZones_.contains(b));
 }
 
-core::Duration World::delayBetween(const std::string& a, const std::string& b) const {
+core::Duration Simulation::delayBetween(const std::string& a, const std::string& b) const {
   if (a == b) {
     return scenario_.network.sameZone;
   }
@@ -23,9 +23,9 @@
   return sameRegion ? scenario_.network.crossZone : scenario_.network.crossRegion;
 }
 
-void World::transmit(const std::string& fromZone, const std::string& toZone,
-                     const std::function<void()>& arrive) {
-  if (isCut(fromZone, toZone) || random_.chance(scenario_.network.lossPermille)) {
+void Simulation::transmit(const std::string& fromZone, const std::string& toZone,
+                          const std::function<void()>& arrive) {
+  if (isPartitioned(fromZone, toZone) || random_.chance(scenario_.network.lossPermille)) {
     return;
   }
   const bool twice = random_.chance(scenario_.network.duplicatePermille);
@@ -36,17 +36,17 @@
   }
 }
 
-World::DaemonPtr World::findByControl(const core::Endpoint& control) const {
+Simulation::DaemonPtr Simulation::findByControl(const core::Endpoint& control) const {
   const auto it = daemonsByControl_.find(control);
   return it == daemonsByControl_.end() ? nullptr : it->second;
 }
 
-void World::onCallerPacket(const WorkRequest& request) {
-  const std::string& zone = callers_[request.caller]->zone();
+void Simulation::onClientPacket(const WorkRequest& request) {
+  const std::string& zone = clients_[request.client]->zone();
   std::vector<DaemonPtr> candidates;
   for (const DaemonPtr& daemon : daemons_) {
-    const bool reachable = !isCut(zone, daemon->zone());
-    if (reachable && queue_.now() >= daemon->startedAt && queue_.now() < daemon->sprayedUntil) {
+    const bool reachable = !isPartitioned(zone, daemon->zone());
+    if (reachable && queue_.now() >= daemon->startedAt && queue_.now() < daemon->receivesUntil) {
       candidates.push_back(daemon);
     }
   }
@@ -54,20 +54,20 @@
     return;
   }
   const DaemonPtr daemon = candidates[random_.below(candidates.size())];
-  queue_.after(scenario_.network.caller, [this, zone, daemon, request] {
+  queue_.after(scenario_.network.client, [this, zone, daemon, request] {
     transmit(zone, daemon->zone(), [this, daemon, request] {
       daemon->deliver([this, daemon, request] {
         const core::Time now = queue_.now();
-        carryOut(daemon, daemon->router().onPacket(request.packet, now), request,
-                 daemon->identity().id);
+        executeVerdict(daemon, daemon->router().onPacket(request.packet, now), request,
+                       daemon->identity().id);
         flush(daemon);
       });
     });
   });
 }
 
-void World::carryOut(const DaemonPtr& daemon, const core::Verdict& verdict,
-                     const WorkRequest& request, core::MemberId ingress) {
+void Simulation::executeVerdict(const DaemonPtr& daemon, const core::Verdict& verdict,
+                                const WorkRequest& request, core::MemberId ingress) {
   if (request.session == scenario_.traceSession) {
     trace(*daemon, verdict, request);
   }
@@ -80,18 +80,18 @@
     SimulatedBackend* backend = target->second;
     transmit(daemon->zone(), backend->zone(),
              [backend, routed = forward->backend, request] { backend->onPacket(routed, request); });
-  } else if (const auto* pass = std::get_if<core::ForwardToPeer>(&verdict)) {
+  } else if (const auto* peerForward = std::get_if<core::ForwardToPeer>(&verdict)) {
     ++packetsToPeers_;
-    const DaemonPtr peer = findByControl(pass->destination);
+    const DaemonPtr peer = findByControl(peerForward->destination);
     if (peer == nullptr) {
       return;
     }
-    const core::PeerArrival arrival{ingress, pass->hops, pass->wantsListing};
+    const core::PeerArrival arrival{ingress, peerForward->hops, peerForward->wantsListing};
     transmit(daemon->zone(), peer->zone(), [this, peer, request, arrival] {
       peer->deliver([this, peer, request, arrival] {
         const core::Verdict next =
             peer->router().onPeerPacket(request.packet, arrival, queue_.now());
-        carryOut(peer, next, request, arrival.ingress);
+        executeVerdict(peer, next, request, arrival.ingress);
         flush(peer);
       });
     });
@@ -100,7 +100,7 @@
     if (refusal->form != core::RefusalForm::kNone) {
       const bool notRun = refusal->certainty == core::RefusalCertainty::kNotRun;
       const WorkResult result = notRun ? WorkResult::kNotRun : WorkResult::kOutcomeUnknown;
-      answerCaller(request.caller, daemon->zone(),
+      sendResponse(request.client, daemon->zone(),
                    {request.messageId, result, request.request, request.block});
     }
   } else if (const auto* drop = std::get_if<core::Drop>(&verdict)) {
@@ -108,15 +108,15 @@
   }
 }
 
-void World::answerCaller(std::size_t caller, const std::string& fromZone,
-                         const WorkAnswer& answer) {
-  SimulatedCaller* target = callers_[caller].get();
-  transmit(fromZone, target->zone(), [this, target, answer] {
-    queue_.after(scenario_.network.caller, [target, answer] { target->onAnswer(answer); });
+void Simulation::sendResponse(std::size_t client, const std::string& fromZone,
+                              const WorkResponse& response) {
+  SimulatedClient* target = clients_[client].get();
+  transmit(fromZone, target->zone(), [this, target, response] {
+    queue_.after(scenario_.network.client, [target, response] { target->onResponse(response); });
   });
 }
 
-void World::flush(const DaemonPtr& daemon) {
+void Simulation::flush(const DaemonPtr& daemon) {
   for (core::OutgoingMessage& outgoing : daemon->router().takeMessages()) {
     ++daemon->traffic.messages;
     const std::size_t bytes = codec_.encode(net::toFrame(outgoing.message)).size();
@@ -136,14 +136,14 @@
   }
 }
 
-void World::readPlatform(const DaemonPtr& daemon) {
+void Simulation::readPlatform(const DaemonPtr& daemon) {
   // The platform stands in the first zone.
-  const bool reachable = !isCut(daemon->zone(), scenario_.zones.front().name);
+  const bool reachable = !isPartitioned(daemon->zone(), scenario_.zones.front().name);
   const core::Time now = queue_.now();
-  if (!reachable || now < daemon->nextRead) {
+  if (!reachable || now < daemon->nextPlatformRead) {
     return;
   }
-  daemon->nextRead = now + scenario_.platformPoll;
+  daemon->nextPlatformRead = now + scenario_.platformPoll;
   if (!daemon->router().shouldReadPlatform(now)) {
     return;
   }
@@ -152,7 +152,7 @@
     daemon->router().offerConfiguration(std::move(*document), now);
     std::vector<core::MemberIdentity> machines;
     for (const DaemonPtr& other : daemons_) {
-      const bool listed = other->isAlive() || now < other->sprayedUntil + kMachineListLag;
+      const bool listed = other->isAlive() || now < other->receivesUntil + kMachineListLag;
       if (listed) {
         machines.push_back(other->identity());
       }
@@ -161,7 +161,7 @@
   }
 }
 
-void World::tickDaemon(const DaemonPtr& daemon) {
+void Simulation::tickDaemon(const DaemonPtr& daemon) {
   if (!daemon->isAlive()) {
     return;
   }
@@ -172,10 +172,10 @@
     const core::ConfigurationVersion version = daemon->router().versionInForce();
     if (version != daemon->reportedVersion) {
       daemon->reportedVersion = version;
-      record(EventKind::kConfigurationInForce, daemon->name(), std::to_string(version));
+      record(EventKind::kConfigurationActive, daemon->name(), std::to_string(version));
     }
-    const bool leaving = daemon->leavingSince != core::Time{};
-    if (leaving && now - daemon->leavingSince >= scenario_.linger &&
+    const bool stopping = daemon->stopRequestedAt != core::Time{};
+    if (stopping && now - daemon->stopRequestedAt >= scenario_.shutdownDelay &&
         daemon->router().handoverDone()) {
       daemon->router().finishLeaving(now);
       flush(daemon);
--- a/src/sim/sweep.cc
+++ b/src/sim/sweep.cc
@@ -27,7 +27,7 @@
   if (options.randomFaults) {
     copy.faults = generateFaults(copy, job.seed);
   }
-  RunResult result = World(copy).run();
+  RunResult result = Simulation(copy).run();
   result.history.clear();
   return result;
 }
@@ -43,7 +43,7 @@
   };
   if (!report.ok()) {
     ++runsWithViolations;
-    badSeeds.push_back(seed);
+    failingSeeds.push_back(seed);
   }
   totals.add(report);
   double largest = 0;
@@ -51,7 +51,7 @@
     largest = std::max(largest, value);
   }
   mean(imbalance, largest);
-  mean(queueingP99Ms, result.queueingP99Ms);
+  mean(queueDelayP99Ms, result.queueDelayP99Ms);
   mean(controlBytesPerSecond, result.controlBytesPerSecond);
   mean(flowStateBytes, result.flowStateBytes);
 }
@@ -91,27 +91,28 @@
   nlohmann::ordered_json root{{"scenario", scenario.name}};
   root["variants"] = nlohmann::ordered_json::array();
   for (const VariantSummary& summary : summaries) {
-    root["variants"].push_back({{"variant", toString(summary.variant)},
-                                {"runs", summary.runs},
-                                {"runs_with_violations", summary.runsWithViolations},
-                                {"sessions", summary.totals.sessions},
-                                {"broken_sessions", summary.totals.brokenSessions},
-                                {"broken_per_million", summary.totals.brokenPerMillion()},
-                                {"double_executions", summary.totals.doubleExecutions},
-                                {"strays", summary.totals.strays},
-                                {"false_refusals", summary.totals.falseRefusals},
-                                {"lost_requests", summary.totals.lostRequests},
-                                {"wrong_answers", summary.totals.wrongAnswers},
-                                {"late_new_work", summary.totals.lateNewWork},
-                                {"configuration_faults", summary.totals.configurationFaults},
-                                {"requests", summary.totals.requests},
-                                {"unknown_outcomes", summary.totals.unknownOutcomes},
-                                {"slowest_configuration_ms", summary.totals.slowestConfigurationMs},
-                                {"imbalance", summary.imbalance},
-                                {"queueing_p99_ms", summary.queueingP99Ms},
-                                {"control_bytes_per_second", summary.controlBytesPerSecond},
-                                {"flow_state_bytes", summary.flowStateBytes},
-                                {"bad_seeds", summary.badSeeds}});
+    root["variants"].push_back(
+        {{"variant", toString(summary.variant)},
+         {"runs", summary.runs},
+         {"runs_with_violations", summary.runsWithViolations},
+         {"sessions", summary.totals.sessions},
+         {"broken_sessions", summary.totals.brokenSessions},
+         {"broken_per_million", summary.totals.brokenPerMillion()},
+         {"double_executions", summary.totals.doubleExecutions},
+         {"strays", summary.totals.misdelivered},
+         {"false_refusals", summary.totals.falseRefusals},
+         {"lost_requests", summary.totals.lostRequests},
+         {"wrong_answers", summary.totals.invalidResponses},
+         {"late_new_work", summary.totals.lateNewSessions},
+         {"configuration_faults", summary.totals.configurationViolations},
+         {"requests", summary.totals.requests},
+         {"unknown_outcomes", summary.totals.unknownOutcomes},
+         {"slowest_configuration_ms", summary.totals.maxConfigurationDelayMs},
+         {"imbalance", summary.imbalance},
+         {"queueing_p99_ms", summary.queueDelayP99Ms},
+         {"control_bytes_per_second", summary.controlBytesPerSecond},
+         {"flow_state_bytes", summary.flowStateBytes},
+         {"bad_seeds", summary.failingSeeds}});
   }
   return root.dump(2) + "\n";
 }
@@ -127,11 +128,11 @@
     out << "| " << toString(s.variant) << " | " << s.runs << " | " << s.runsWithViolations << " | "
         << s.totals.sessions << " | " << s.totals.brokenSessions << " | " << std::setprecision(1)
         << s.totals.brokenPerMillion() << " | " << s.totals.doubleExecutions << " | "
-        << s.totals.strays << " | " << s.totals.falseRefusals << " | " << s.totals.lostRequests
-        << " | " << s.totals.lateNewWork << " | " << s.totals.configurationFaults << " | "
-        << s.totals.unknownOutcomes << " | " << std::setprecision(2) << s.imbalance << " | "
-        << s.queueingP99Ms << " | " << std::setprecision(0) << s.controlBytesPerSecond << " | "
-        << s.flowStateBytes << " |\n";
+        << s.totals.misdelivered << " | " << s.totals.falseRefusals << " | "
+        << s.totals.lostRequests << " | " << s.totals.lateNewSessions << " | "
+        << s.totals.configurationViolations << " | " << s.totals.unknownOutcomes << " | "
+        << std::setprecision(2) << s.imbalance << " | " << s.queueDelayP99Ms << " | "
+        << std::setprecision(0) << s.controlBytesPerSecond << " | " << s.flowStateBytes << " |\n";
   }
   return out.str();
 }
--- a/src/sim/sweep.h
+++ b/src/sim/sweep.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "sim/scenario.h"
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 namespace cobaltgauge::sim {
 
@@ -16,11 +16,11 @@
   std::size_t runs = 0;
   std::size_t runsWithViolations = 0;
   HistoryCounts totals;
-  double imbalance = 0;      ///< Mean over runs of the largest service's final max/mean.
-  double queueingP99Ms = 0;  ///< Mean over runs.
+  double imbalance = 0;        ///< Mean over runs of the largest service's final max/mean.
+  double queueDelayP99Ms = 0;  ///< Mean over runs.
   double controlBytesPerSecond = 0;
   double flowStateBytes = 0;
-  std::vector<std::uint64_t> badSeeds;
+  std::vector<std::uint64_t> failingSeeds;
 
   void add(std::uint64_t seed, const RunResult& result);
 };
--- a/src/standin/backend.cc
+++ b/src/standin/backend.cc
@@ -12,8 +12,8 @@
 
 using sim::EventKind;
 
-constexpr std::size_t kRememberedAnswers = 20'000;
-constexpr int kColdFactor = 4;
+constexpr std::size_t kMaxCachedResponses = 20'000;
+constexpr int kWarmUpSlowdown = 4;
 
 const std::vector<ctl::OptionSpec>& backendOptions() {
   static const std::vector<ctl::OptionSpec> kOptions{
@@ -46,7 +46,7 @@
       maxSessions_(options.number("max-sessions")),
       maxQueue_(options.number("max-queue")),
       serviceTime_(options.number("service-ms")),
-      coldTime_(options.number("cold-ms")),
+      warmUpTime_(options.number("cold-ms")),
       pushInterval_(options.number("push-ms")),
       startedMs_(wallClockMs()),
       port_(context, static_cast<std::uint32_t>(options.number("vni")),
@@ -68,15 +68,15 @@
   history_.write({wallClockMs(), kind, name_, service_, session, request, detail});
 }
 
-bool Backend::isStray(const std::optional<net::RoutingOption>& routing) const {
+bool Backend::isMisdelivered(const std::optional<net::RoutingOption>& routing) const {
   return !routing || routing->service != expected_.service ||
          routing->incarnation != expected_.incarnation;
 }
 
 void Backend::onPacket(const net::UdpPacket& packet,
                        const std::optional<net::RoutingOption>& routing) {
-  if (isStray(routing)) {
-    record(EventKind::kStray, "", "", "refused by the back end");
+  if (isMisdelivered(routing)) {
+    record(EventKind::kMisdelivered, "", "", "refused by the back end");
     return;
   }
   const std::optional<net::CoapMessage> message = net::decodeCoap(packet.payload);
@@ -84,21 +84,21 @@
     return;  // Acknowledgements of pushes need no work.
   }
   const auto key = std::make_pair(packet.flow, message->messageId);
-  const auto known = answered_.find(key);
-  if (known != answered_.end()) {
+  const auto cached = responses_.find(key);
+  if (cached != responses_.end()) {
     if (message->path() == kSubmitPath) {
-      record(EventKind::kRequestRepeated, "", message->payload);
+      record(EventKind::kRequestDuplicate, "", message->payload);
     }
-    if (known->second.code != net::kCoapEmpty) {
-      send(packet.flow, known->second);
+    if (cached->second.code != net::kCoapEmpty) {
+      send(packet.flow, cached->second);
     }
     return;
   }
-  answered_[key] = net::CoapMessage{};
-  answeredOrder_.push_back(key);
-  if (answeredOrder_.size() > kRememberedAnswers) {
-    answered_.erase(answeredOrder_.front());
-    answeredOrder_.pop_front();
+  responses_[key] = net::CoapMessage{};
+  responseOrder_.push_back(key);
+  if (responseOrder_.size() > kMaxCachedResponses) {
+    responses_.erase(responseOrder_.front());
+    responseOrder_.pop_front();
   }
   onRequest(packet.flow, *message);
 }
@@ -112,23 +112,23 @@
   const auto session = sessions_.find(flow);
   if (session == sessions_.end()) {
     record(EventKind::kSessionUnknown, request.payload, "", path);
-    answer(flow, request, net::kCoapUnauthorized, "no session");
-  } else if (path == kWatchPath) {
-    watch(flow, request, session->second);
+    respond(flow, request, net::kCoapUnauthorized, "no session");
+  } else if (path == kObservePath) {
+    observe(flow, request, session->second);
   } else if (path == kSubmitPath && request.code == net::kCoapPost) {
     submit(flow, request);
   } else if (path == kSubmitPath && request.code == net::kCoapDelete) {
     cancel(flow, request);
-  } else if (path == kPacketPath) {
+  } else if (path == kFetchPath) {
     sendBlock(flow, request);
   } else {
-    answer(flow, request, net::kCoapNotFound);
+    respond(flow, request, net::kCoapNotFound);
   }
 }
 
 void Backend::openSession(const core::FlowKey& flow, const net::CoapMessage& request) {
   if (sessions_.contains(flow)) {
-    answer(flow, request, net::kCoapCreated);
+    respond(flow, request, net::kCoapCreated);
     return;
   }
   if (sessions_.size() >= maxSessions_ || draining_) {
@@ -137,12 +137,13 @@
   }
   sessions_[flow].name = request.payload;
   record(EventKind::kSessionAtBackend, request.payload, "");
-  answer(flow, request, net::kCoapCreated);
+  respond(flow, request, net::kCoapCreated);
 }
 
-void Backend::watch(const core::FlowKey& flow, const net::CoapMessage& request, Session& session) {
-  session.watchToken = request.token;
-  answer(flow, request, net::kCoapContent, "rate 0");
+void Backend::observe(const core::FlowKey& flow, const net::CoapMessage& request,
+                      Session& session) {
+  session.observeToken = request.token;
+  respond(flow, request, net::kCoapContent, "rate 0");
 }
 
 void Backend::submit(const core::FlowKey& flow, const net::CoapMessage& request) {
@@ -161,16 +162,16 @@
   for (auto it = queue_.begin(); it != queue_.end(); ++it) {
     if (it->flow == flow && it->id == request.payload) {
       queue_.erase(it);
-      answer(flow, request, net::kCoapDeleted, "not run");
+      respond(flow, request, net::kCoapDeleted, "not run");
       return;
     }
   }
-  answer(flow, request, net::kCoapNotFound, "running or done");
+  respond(flow, request, net::kCoapNotFound, "running or done");
 }
 
 std::chrono::milliseconds Backend::serviceTime() const {
-  const bool cold = wallClockMs() - startedMs_ < coldTime_.count();
-  return cold ? serviceTime_ * kColdFactor : serviceTime_;
+  const bool warmingUp = wallClockMs() - startedMs_ < warmUpTime_.count();
+  return warmingUp ? serviceTime_ * kWarmUpSlowdown : serviceTime_;
 }
 
 void Backend::startJobs() {
@@ -190,7 +191,7 @@
 
 void Backend::finishJob(const Job& job) {
   record(EventKind::kRequestExecuted, sessions_[job.flow].name, job.id);
-  answer(job.flow, job.request, net::kCoapChanged, job.id);
+  respond(job.flow, job.request, net::kCoapChanged, job.id);
   --busySlots_;
   startJobs();
 }
@@ -202,18 +203,18 @@
   reply.code = net::kCoapContent;
   reply.messageId = request.messageId;
   reply.token = request.token;
-  reply.addUint(net::kCoapBlock2, blockOption(number, number + 1 < kAnswerBlocks));
-  reply.payload = answerBlock(request.payload, number);
-  answered_[{flow, request.messageId}] = reply;
+  reply.addUint(net::kCoapBlock2, blockOption(number, number + 1 < kResponseBlocks));
+  reply.payload = responseBlock(request.payload, number);
+  responses_[{flow, request.messageId}] = reply;
   send(flow, reply);
 }
 
 void Backend::refuse(const core::FlowKey& flow, const net::CoapMessage& request, const char* why) {
-  answer(flow, request, net::kCoapServiceUnavailable, why);
+  respond(flow, request, net::kCoapServiceUnavailable, why);
 }
 
-void Backend::answer(const core::FlowKey& flow, const net::CoapMessage& request, std::uint8_t code,
-                     std::string payload) {
+void Backend::respond(const core::FlowKey& flow, const net::CoapMessage& request, std::uint8_t code,
+                      std::string payload) {
   net::CoapMessage reply;
   reply.type = net::CoapType::kAcknowledgement;
   reply.code = code;
@@ -223,7 +224,7 @@
     reply.addUint(net::kCoapMaxAge, 1);
   }
   reply.payload = std::move(payload);
-  answered_[{flow, request.messageId}] = reply;
+  responses_[{flow, request.messageId}] = reply;
   send(flow, reply);
 }
 
@@ -233,14 +234,14 @@
 
 void Backend::push() {
   for (auto& [flow, session] : sessions_) {
-    if (session.watchToken.empty()) {
+    if (session.observeToken.empty()) {
       continue;
     }
     net::CoapMessage update;
     update.type = net::CoapType::kNonConfirmable;
     update.code = net::kCoapContent;
     update.messageId = static_cast<std::uint16_t>(++session.pushes);
-    update.token = session.watchToken;
+    update.token = session.observeToken;
     update.addUint(net::kCoapObserve, session.pushes);
     update.payload = "rate " + std::to_string(session.pushes);
     send(flow, update);
--- a/src/standin/backend.h
+++ b/src/standin/backend.h
@@ -1,6 +1,6 @@
 /// @file
 /// Stand-in for a back end of the users' services: two slots, a bounded number of connections,
-/// cold start, drain, shedding, cancellation, deadlines; repeats are recorded, not hidden.
+/// slow start, drain, shedding, cancellation, deadlines; repeats are recorded, not hidden.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -25,7 +25,7 @@
   /// One standing session, identified by its flow.
   struct Session {
     std::string name;
-    net::Bytes watchToken;  ///< Empty while the caller does not observe.
+    net::Bytes observeToken;  ///< Empty while the client does not observe.
     std::uint32_t pushes = 0;
   };
   /// A submission that waits for a slot or runs in one.
@@ -37,18 +37,18 @@
   };
 
   void onPacket(const net::UdpPacket& packet, const std::optional<net::RoutingOption>& routing);
-  bool isStray(const std::optional<net::RoutingOption>& routing) const;
+  bool isMisdelivered(const std::optional<net::RoutingOption>& routing) const;
   void onRequest(const core::FlowKey& flow, const net::CoapMessage& request);
   void openSession(const core::FlowKey& flow, const net::CoapMessage& request);
-  void watch(const core::FlowKey& flow, const net::CoapMessage& request, Session& session);
+  void observe(const core::FlowKey& flow, const net::CoapMessage& request, Session& session);
   void submit(const core::FlowKey& flow, const net::CoapMessage& request);
   void cancel(const core::FlowKey& flow, const net::CoapMessage& request);
   void sendBlock(const core::FlowKey& flow, const net::CoapMessage& request);
   void startJobs();
   void finishJob(const Job& job);
   void refuse(const core::FlowKey& flow, const net::CoapMessage& request, const char* why);
-  void answer(const core::FlowKey& flow, const net::CoapMessage& request, std::uint8_t code,
-              std::string payload = {});
+  void respond(const core::FlowKey& flow, const net::CoapMessage& request, std::uint8_t code,
+               std::string payload = {});
   void send(const core::FlowKey& flow, const net::CoapMessage& message);
   void push();
   void waitForDrain();
@@ -65,7 +65,7 @@
   std::size_t maxSessions_;
   std::size_t maxQueue_;
   std::chrono::milliseconds serviceTime_;
-  std::chrono::milliseconds coldTime_;
+  std::chrono::milliseconds warmUpTime_;
   std::chrono::milliseconds pushInterval_;
   std::int64_t startedMs_;
   bool draining_ = false;
@@ -76,10 +76,10 @@
   std::map<core::FlowKey, Session> sessions_;
   std::deque<Job> queue_;
   std::size_t busySlots_ = 0;
-  /// Answers by flow and message id, so that a repeat gets the same answer (RFC 7252, 4.5). An
+  /// Answers by flow and message id, so that a repeat gets the same response (RFC 7252, 4.5). An
   /// empty message marks a request that is still being worked on.
-  std::map<std::pair<core::FlowKey, std::uint16_t>, net::CoapMessage> answered_;
-  std::deque<std::pair<core::FlowKey, std::uint16_t>> answeredOrder_;
+  std::map<std::pair<core::FlowKey, std::uint16_t>, net::CoapMessage> responses_;
+  std::deque<std::pair<core::FlowKey, std::uint16_t>> responseOrder_;
 };
 
 /// Entry point of the subcommand.
--- a/src/standin/caller.cc
+++ b/src/standin/client.cc
@@ -1,4 +1,4 @@
-#include "standin/caller.h"
+#include "standin/client.h"
 
 #include <iostream>
 #include <map>
@@ -20,10 +20,10 @@
 constexpr std::int64_t kDeadlineMs = 5000;
 constexpr std::uint16_t kFirstSourcePort = 20000;
 constexpr std::uint32_t kSessionsPerAddress = 100;
-constexpr auto kStagger = std::chrono::milliseconds(4);
+constexpr auto kStartInterval = std::chrono::milliseconds(4);
 constexpr auto kCheckInterval = std::chrono::milliseconds(50);
 
-const std::vector<ctl::OptionSpec>& callerOptions() {
+const std::vector<ctl::OptionSpec>& clientOptions() {
   static const std::vector<ctl::OptionSpec> kOptions{
       {"name", "name in the history; part of every session name", ""},
       {"service", "service name in the history", ""},
@@ -44,54 +44,54 @@
 
 }  // namespace
 
-CallerSession::CallerSession(CallerShared& shared, std::string name, core::FlowKey flow)
+ClientSession::ClientSession(ClientContext& shared, std::string name, core::FlowKey flow)
     : shared_(shared), name_(std::move(name)), flow_(flow), timer_(shared.context) {}
 
-void CallerSession::record(EventKind kind, const std::string& request, const std::string& detail) {
+void ClientSession::record(EventKind kind, const std::string& request, const std::string& detail) {
   shared_.history.write(
       {wallClockMs(), kind, shared_.name, shared_.service, name_, request, detail});
 }
 
-void CallerSession::start(std::chrono::milliseconds delay) {
+void ClientSession::start(std::chrono::milliseconds delay) {
   timer_.expires_after(delay);
   timer_.async_wait([this](const asio::error_code& error) {
     if (!error) {
-      next();
+      startExchange();
     }
   });
 }
 
-net::CoapMessage CallerSession::makeRequest(std::uint8_t code, const char* path) {
+net::CoapMessage ClientSession::makeRequest(std::uint8_t code, const char* path) {
   net::CoapMessage request;
   request.code = code;
   request.messageId = nextMessageId_++;
   request.token = {static_cast<std::uint8_t>(request.messageId >> 8U),
                    static_cast<std::uint8_t>(request.messageId & 0xffU)};
-  if (path == std::string(kWatchPath)) {
+  if (path == std::string(kObservePath)) {
     request.addUint(net::kCoapObserve, 0);
   }
   request.addText(net::kCoapUriPath, path);
   return request;
 }
 
-void CallerSession::next() {
+void ClientSession::startExchange() {
   if (shared_.stopping) {
-    step_ = Step::kEnded;
+    state_ = State::kEnded;
     return;
   }
   if (!opened_) {
     net::CoapMessage request = makeRequest(net::kCoapPost, kSessionPath);
     request.payload = name_;
-    sendRequest(Step::kOpening, std::move(request));
+    sendRequest(State::kOpening, std::move(request));
     return;
   }
   if (!subscribed_) {
-    sendRequest(Step::kSubscribing, makeRequest(net::kCoapGet, kWatchPath));
+    sendRequest(State::kSubscribing, makeRequest(net::kCoapGet, kObservePath));
     return;
   }
   requestId_ = name_ + "-" + std::to_string(++requestCount_);
-  if (shared_.random() % 100 < shared_.packetPercent) {
-    fetched_.clear();
+  if (shared_.random() % 100 < shared_.fetchPercent) {
+    responseBody_.clear();
     fetchBlock(0);
     return;
   }
@@ -101,35 +101,35 @@
   if (shared_.random() % 100 < shared_.cancelPercent) {
     submitAndCancel(request);
   } else {
-    sendRequest(Step::kSubmitting, std::move(request));
+    sendRequest(State::kSubmitting, std::move(request));
   }
 }
 
-void CallerSession::submitAndCancel(const net::CoapMessage& submission) {
+void ClientSession::submitAndCancel(const net::CoapMessage& submission) {
   shared_.port.send(shared_.fabric, flow_, net::encodeCoap(submission));
   net::CoapMessage cancellation = makeRequest(net::kCoapDelete, kSubmitPath);
   cancellation.payload = requestId_;
-  sendRequest(Step::kCancelling, std::move(cancellation));
+  sendRequest(State::kCancelling, std::move(cancellation));
 }
 
-void CallerSession::onCancelAnswer(const net::CoapMessage& answer) {
-  if (answer.code == net::kCoapDeleted) {
+void ClientSession::onCancelResponse(const net::CoapMessage& response) {
+  if (response.code == net::kCoapDeleted) {
     record(EventKind::kRequestRefused, requestId_, "cancelled");
   } else {
-    record(EventKind::kRequestUnknown, requestId_, "cancelled too late");
+    record(EventKind::kRequestOutcomeUnknown, requestId_, "cancelled too late");
   }
 }
 
-void CallerSession::sendRequest(Step step, net::CoapMessage request) {
-  step_ = step;
+void ClientSession::sendRequest(State state, net::CoapMessage request) {
+  state_ = state;
   pending_ = std::move(request);
   transmissions_ = 0;
   transmit();
 }
 
-void CallerSession::transmit() {
+void ClientSession::transmit() {
   if (transmissions_ == kMaxTransmissions) {
-    giveUp();
+    abandonRequest();
     return;
   }
   shared_.port.send(shared_.fabric, flow_, net::encodeCoap(pending_));
@@ -143,117 +143,118 @@
   });
 }
 
-void CallerSession::giveUp() {
-  if (step_ == Step::kSubmitting || step_ == Step::kCancelling) {
-    record(EventKind::kRequestUnknown, requestId_, "no answer");
-  } else if (step_ == Step::kFetching) {
-    record(EventKind::kAnswerWrong, requestId_, "no answer");
+void ClientSession::abandonRequest() {
+  if (state_ == State::kSubmitting || state_ == State::kCancelling) {
+    record(EventKind::kRequestOutcomeUnknown, requestId_, "no answer");
+  } else if (state_ == State::kFetching) {
+    record(EventKind::kResponseInvalid, requestId_, "no answer");
   }
   pause();
 }
 
-void CallerSession::pause() {
-  step_ = Step::kIdle;
+void ClientSession::pause() {
+  state_ = State::kIdle;
   const auto mean = static_cast<std::uint64_t>(shared_.interval.count());
   start(opened_ ? std::chrono::milliseconds(mean / 2 + shared_.random() % (mean + 1))
                 : kRetryOpenDelay);
 }
 
-void CallerSession::onMessage(const net::CoapMessage& message) {
+void ClientSession::onMessage(const net::CoapMessage& message) {
   const bool isPush = message.type == net::CoapType::kNonConfirmable;
   if (isPush) {
     ++pushes_;
     return;
   }
-  const bool expected = step_ != Step::kIdle && step_ != Step::kEnded &&
+  const bool expected = state_ != State::kIdle && state_ != State::kEnded &&
                         message.token == pending_.token && message.messageId == pending_.messageId;
   if (expected) {
     timer_.cancel();
-    onAnswer(message);
+    onResponse(message);
   }
 }
 
-void CallerSession::onAnswer(const net::CoapMessage& answer) {
-  if (answer.code == net::kCoapUnauthorized) {
+void ClientSession::onResponse(const net::CoapMessage& response) {
+  if (response.code == net::kCoapUnauthorized) {
     record(EventKind::kSessionBroken);
-    step_ = Step::kEnded;
+    state_ = State::kEnded;
     return;
   }
-  switch (step_) {
-    case Step::kOpening:
-      opened_ = answer.code == net::kCoapCreated;
+  switch (state_) {
+    case State::kOpening:
+      opened_ = response.code == net::kCoapCreated;
       if (opened_) {
         record(EventKind::kSessionOpened);
       }
       pause();
       break;
-    case Step::kSubscribing:
-      subscribed_ = answer.code == net::kCoapContent;
+    case State::kSubscribing:
+      subscribed_ = response.code == net::kCoapContent;
       pause();
       break;
-    case Step::kSubmitting:
-      onSubmitAnswer(answer);
+    case State::kSubmitting:
+      onSubmitResponse(response);
       pause();
       break;
-    case Step::kCancelling:
-      onCancelAnswer(answer);
+    case State::kCancelling:
+      onCancelResponse(response);
       pause();
       break;
-    case Step::kFetching:
-      onBlock(answer);
+    case State::kFetching:
+      onBlock(response);
       break;
-    case Step::kIdle:
-    case Step::kEnded:
+    case State::kIdle:
+    case State::kEnded:
       break;
   }
 }
 
-void CallerSession::onSubmitAnswer(const net::CoapMessage& answer) {
-  if (answer.code == net::kCoapChanged && answer.payload == requestId_) {
+void ClientSession::onSubmitResponse(const net::CoapMessage& response) {
+  if (response.code == net::kCoapChanged && response.payload == requestId_) {
     record(EventKind::kRequestDone, requestId_);
-  } else if (answer.code == net::kCoapChanged) {
-    record(EventKind::kAnswerWrong, requestId_, "answer of " + answer.payload);
-  } else if (answer.payload == "not run") {
+  } else if (response.code == net::kCoapChanged) {
+    record(EventKind::kResponseInvalid, requestId_, "answer of " + response.payload);
+  } else if (response.payload == "not run") {
     record(EventKind::kRequestRefused, requestId_);
   } else {
-    record(EventKind::kRequestUnknown, requestId_, answer.payload);
+    record(EventKind::kRequestOutcomeUnknown, requestId_, response.payload);
   }
 }
 
-void CallerSession::fetchBlock(std::uint32_t number) {
+void ClientSession::fetchBlock(std::uint32_t number) {
   block_ = number;
-  net::CoapMessage request = makeRequest(net::kCoapGet, kPacketPath);
+  net::CoapMessage request = makeRequest(net::kCoapGet, kFetchPath);
   request.addUint(net::kCoapBlock2, blockOption(number, false));
   request.payload = requestId_;
-  sendRequest(Step::kFetching, std::move(request));
+  sendRequest(State::kFetching, std::move(request));
 }
 
-void CallerSession::onBlock(const net::CoapMessage& answer) {
-  if (answer.code == net::kCoapServiceUnavailable || answer.code == net::kCoapTooManyRequests) {
+void ClientSession::onBlock(const net::CoapMessage& response) {
+  if (response.code == net::kCoapServiceUnavailable || response.code == net::kCoapTooManyRequests) {
     pause();
     return;
   }
-  const std::uint32_t option = answer.uintOption(net::kCoapBlock2).value_or(0);
+  const std::uint32_t option = response.uintOption(net::kCoapBlock2).value_or(0);
   const bool more = (option & 8U) != 0;
-  const bool right = (option >> 4U) == block_ && answer.payload == answerBlock(requestId_, block_);
-  if (!right || more != (block_ + 1 < kAnswerBlocks)) {
-    record(EventKind::kAnswerWrong, requestId_, "block " + std::to_string(block_));
+  const bool right =
+      (option >> 4U) == block_ && response.payload == responseBlock(requestId_, block_);
+  if (!right || more != (block_ + 1 < kResponseBlocks)) {
+    record(EventKind::kResponseInvalid, requestId_, "block " + std::to_string(block_));
     pause();
     return;
   }
-  fetched_ += answer.payload;
+  responseBody_ += response.payload;
   if (more) {
     fetchBlock(block_ + 1);
     return;
   }
-  const bool whole = fetched_.size() == std::size_t{kAnswerBlocks} * kBlockBytes;
-  record(whole ? EventKind::kAnswerWhole : EventKind::kAnswerWrong, requestId_);
+  const bool whole = responseBody_.size() == std::size_t{kResponseBlocks} * kBlockBytes;
+  record(whole ? EventKind::kResponseComplete : EventKind::kResponseInvalid, requestId_);
   pause();
 }
 
-int runCaller(int argc, const char* const* argv) {
+int runClient(int argc, const char* const* argv) {
   const auto options =
-      ctl::CommandOptions::parse("cobaltgauge-standin caller", callerOptions(), argc, argv);
+      ctl::CommandOptions::parse("cobaltgauge-standin caller", clientOptions(), argc, argv);
   if (!options) {
     return 2;
   }
@@ -263,7 +264,7 @@
     std::cerr << "cannot open " << options->text("history") << "\n";
     return 1;
   }
-  std::map<core::FlowKey, std::unique_ptr<CallerSession>> sessions;
+  std::map<core::FlowKey, std::unique_ptr<ClientSession>> sessions;
   GenevePort port(context, static_cast<std::uint32_t>(options->number("vni")),
                   [&sessions](const net::UdpPacket& packet, const auto&) {
                     const auto session = sessions.find(net::reversed(packet.flow));
@@ -273,17 +274,17 @@
                     }
                   });
   port.open(options->endpoint("listen"));
-  CallerShared shared{context,
-                      port,
-                      options->endpoint("fabric"),
-                      history,
-                      options->text("name"),
-                      options->text("service"),
-                      std::mt19937_64(options->number("seed")),
-                      std::chrono::milliseconds(options->number("interval-ms")),
-                      options->number("packet-percent"),
-                      options->number("cancel-percent"),
-                      false};
+  ClientContext shared{context,
+                       port,
+                       options->endpoint("fabric"),
+                       history,
+                       options->text("name"),
+                       options->text("service"),
+                       std::mt19937_64(options->number("seed")),
+                       std::chrono::milliseconds(options->number("interval-ms")),
+                       options->number("packet-percent"),
+                       options->number("cancel-percent"),
+                       false};
   const core::Endpoint target = options->endpoint("target");
   const auto count = static_cast<std::uint32_t>(options->number("sessions"));
   for (std::uint32_t i = 0; i < count; ++i) {
@@ -296,8 +297,8 @@
     const auto sourcePort = static_cast<std::uint16_t>(kFirstSourcePort + i % kSessionsPerAddress);
     const core::FlowKey flow{core::Protocol::kUdp, {*source, sourcePort}, target};
     auto session =
-        std::make_unique<CallerSession>(shared, shared.name + "-" + std::to_string(i), flow);
-    session->start(kStagger * i);
+        std::make_unique<ClientSession>(shared, shared.name + "-" + std::to_string(i), flow);
+    session->start(kStartInterval * i);
     sessions[flow] = std::move(session);
   }
   asio::steady_timer end(context, std::chrono::seconds(options->number("seconds")));
--- a/src/standin/caller.h
+++ b/src/standin/client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Stand-in for the users' callers: standing sessions that observe pushes, submit requests that
+/// Stand-in for the users' clients: standing sessions that observe pushes, submit requests that
 /// may not be repeated, and fetch large answers; it records what it was told.
 #pragma once
 
@@ -17,8 +17,8 @@
 
 namespace cobaltgauge::standin {
 
-/// What all sessions of one caller process share.
-struct CallerShared {
+/// What all sessions of one client process share.
+struct ClientContext {
   asio::io_context& context;
   GenevePort& port;
   core::Endpoint fabric;
@@ -27,23 +27,23 @@
   std::string service;
   std::mt19937_64 random;
   std::chrono::milliseconds interval{500};
-  std::uint64_t packetPercent = 30;
+  std::uint64_t fetchPercent = 30;
   std::uint64_t cancelPercent = 0;
   bool stopping = false;
 };
 
 /// One standing session. At most one exchange is under way at a time.
-class CallerSession {
+class ClientSession {
  public:
-  CallerSession(CallerShared& shared, std::string name, core::FlowKey flow);
+  ClientSession(ClientContext& shared, std::string name, core::FlowKey flow);
 
   void start(std::chrono::milliseconds delay);
   void onMessage(const net::CoapMessage& message);
-  bool idle() const { return step_ == Step::kIdle || step_ == Step::kEnded; }
+  bool idle() const { return state_ == State::kIdle || state_ == State::kEnded; }
   std::uint64_t pushes() const { return pushes_; }
 
  private:
-  enum class Step : std::uint8_t {
+  enum class State : std::uint8_t {
     kIdle,
     kOpening,
     kSubscribing,
@@ -53,25 +53,25 @@
     kEnded
   };
 
-  void next();
-  void sendRequest(Step step, net::CoapMessage request);
+  void startExchange();
+  void sendRequest(State state, net::CoapMessage request);
   void transmit();
-  void onAnswer(const net::CoapMessage& answer);
+  void onResponse(const net::CoapMessage& response);
   void submitAndCancel(const net::CoapMessage& submission);
-  void onCancelAnswer(const net::CoapMessage& answer);
-  void onSubmitAnswer(const net::CoapMessage& answer);
-  void onBlock(const net::CoapMessage& answer);
+  void onCancelResponse(const net::CoapMessage& response);
+  void onSubmitResponse(const net::CoapMessage& response);
+  void onBlock(const net::CoapMessage& response);
   void fetchBlock(std::uint32_t number);
-  void giveUp();
+  void abandonRequest();
   void pause();
   void record(sim::EventKind kind, const std::string& request = {}, const std::string& detail = {});
   net::CoapMessage makeRequest(std::uint8_t code, const char* path);
 
-  CallerShared& shared_;
+  ClientContext& shared_;
   std::string name_;
   core::FlowKey flow_;
   asio::steady_timer timer_;
-  Step step_ = Step::kIdle;
+  State state_ = State::kIdle;
   bool opened_ = false;
   bool subscribed_ = false;
   std::uint16_t nextMessageId_ = 1;
@@ -79,12 +79,12 @@
   std::uint64_t pushes_ = 0;
   net::CoapMessage pending_;
   std::string requestId_;
-  std::string fetched_;
+  std::string responseBody_;
   std::uint32_t block_ = 0;
   int transmissions_ = 0;
 };
 
 /// Entry point of the subcommand.
-int runCaller(int argc, const char* const* argv);
+int runClient(int argc, const char* const* argv);
 
 }  // namespace cobaltgauge::standin
--- a/src/standin/fabric.cc
+++ b/src/standin/fabric.cc
@@ -83,12 +83,12 @@
   if (!summary) {
     return;
   }
-  const auto caller = callers_.find(summary->flow.destination.address);
-  if (caller != callers_.end()) {
-    deliver(caller->second, datagram);
+  const auto client = clientEndpoints_.find(summary->flow.destination.address);
+  if (client != clientEndpoints_.end()) {
+    deliver(client->second, datagram);
     return;
   }
-  callers_[summary->flow.source.address] = sender_;
+  clientEndpoints_[summary->flow.source.address] = sender_;
   if (!daemons_.empty()) {
     deliver(daemons_[random_() % daemons_.size()], datagram);
   }
--- a/src/standin/fabric.h
+++ b/src/standin/fabric.h
@@ -1,5 +1,5 @@
 /// @file
-/// Stand-in for the fabric: sprays callers' packets over the daemons and carries answers back, with
+/// Stand-in for the fabric: sprays clients' packets over the daemons and carries answers back, with
 /// delay, loss, duplication and reordering from a seeded generator.
 #pragma once
 
@@ -43,8 +43,8 @@
   net::GeneveDecoder decoder_;
   net::InnerPacketReader reader_;
   std::vector<asio::ip::udp::endpoint> daemons_;
-  /// Where each caller address was last seen.
-  std::map<core::IpAddress, asio::ip::udp::endpoint> callers_;
+  /// Where each client address was last seen.
+  std::map<core::IpAddress, asio::ip::udp::endpoint> clientEndpoints_;
 };
 
 /// Entry point of the subcommand.
--- a/src/standin/main.cc
+++ b/src/standin/main.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "standin/backend.h"
-#include "standin/caller.h"
+#include "standin/client.h"
 #include "standin/fabric.h"
 #include "standin/platform_server.h"
 #include "standin/throughput.h"
@@ -38,7 +38,7 @@
       return runThroughput(argc - 1, argv + 1);
     }
     if (command == "caller") {
-      return runCaller(argc - 1, argv + 1);
+      return runClient(argc - 1, argv + 1);
     }
   } catch (const std::exception& error) {
     std::cerr << "cobaltgauge-standin " << command << ": " << error.what() << "\n";
--- a/src/standin/platform_server.cc
+++ b/src/standin/platform_server.cc
@@ -33,9 +33,9 @@
 }
 
 /// Serves a file as it was some time ago.
-class LaggingFile {
+class DelayedFile {
  public:
-  LaggingFile(std::string path, std::int64_t lagMs) : path_(std::move(path)), lagMs_(lagMs) {}
+  DelayedFile(std::string path, std::int64_t lagMs) : path_(std::move(path)), lagMs_(lagMs) {}
 
   std::string content() {
     const std::lock_guard lock(mutex_);
@@ -62,7 +62,7 @@
   std::deque<Version> versions_;
 };
 
-void serve(LaggingFile& file, const httplib::Request& request, httplib::Response& response) {
+void serve(DelayedFile& file, const httplib::Request& request, httplib::Response& response) {
   constexpr int kNotModified = 304;
   const std::string content = file.content();
   const std::string tag = "\"" + std::to_string(core::hashName(content)) + "\"";
@@ -83,8 +83,8 @@
     return 2;
   }
   const auto lag = static_cast<std::int64_t>(options->number("lag-ms"));
-  LaggingFile configuration(options->text("configuration"), lag);
-  LaggingFile machines(options->text("machines"), lag);
+  DelayedFile configuration(options->text("configuration"), lag);
+  DelayedFile machines(options->text("machines"), lag);
   httplib::Server server;
   server.Get("/v1/configuration",
              [&configuration](const httplib::Request& request, httplib::Response& response) {
--- a/src/standin/throughput.cc
+++ b/src/standin/throughput.cc
@@ -19,11 +19,11 @@
 constexpr int kSocketBufferBytes = 8 << 20;
 constexpr int kRelayBatch = 64;
 constexpr std::size_t kMaxDatagram = 65536;
-constexpr std::uint64_t kUnderWay = 256;
-constexpr auto kLossPatience = std::chrono::milliseconds(200);
+constexpr std::uint64_t kMaxInFlight = 256;
+constexpr auto kLossTimeout = std::chrono::milliseconds(200);
 constexpr std::uint16_t kFirstPort = 20000;
 
-void prepare(asio::ip::udp::socket& socket, const core::Endpoint& endpoint) {
+void openSocket(asio::ip::udp::socket& socket, const core::Endpoint& endpoint) {
   const asio::ip::udp::endpoint udp = net::toUdp(endpoint);
   socket.open(udp.protocol());
   socket.bind(udp);
@@ -52,11 +52,12 @@
 }
 
 /// Sends and counts in one thread, so that both measurements cost the sender the same.
-class Meter {
+class ThroughputMeter {
  public:
-  Meter(asio::io_context& context, const core::Endpoint& listen, const core::Endpoint& target)
+  ThroughputMeter(asio::io_context& context, const core::Endpoint& listen,
+                  const core::Endpoint& target)
       : sender_(context, asio::ip::udp::v4()), receiver_(context), target_(net::toUdp(target)) {
-    prepare(receiver_, listen);
+    openSocket(receiver_, listen);
     sender_.non_blocking(true);
   }
 
@@ -66,13 +67,13 @@
     auto lastArrival = began;
     std::size_t next = 0;
     while (received_ + lost_ < count) {
-      if (sent_ < count && sent_ - received_ - lost_ < kUnderWay) {
+      if (sent_ < count && sent_ - received_ - lost_ < kMaxInFlight) {
         send(packets[next]);
         next = (next + 1) % packets.size();
       }
       if (receiveAll()) {
         lastArrival = Clock::now();
-      } else if (Clock::now() - lastArrival > kLossPatience) {
+      } else if (Clock::now() - lastArrival > kLossTimeout) {
         lost_ = sent_ - received_;
         lastArrival = Clock::now();
       }
@@ -127,7 +128,7 @@
   }
   asio::io_context context;
   asio::ip::udp::socket socket(context);
-  prepare(socket, options->endpoint("listen"));
+  openSocket(socket, options->endpoint("listen"));
   const asio::ip::udp::endpoint target = net::toUdp(options->endpoint("to"));
   std::array<std::uint8_t, kMaxDatagram> buffer{};
   std::function<void()> wait = [&] {
@@ -167,7 +168,7 @@
                                    options->number("payload-bytes"),
                                    static_cast<std::uint32_t>(options->number("vni")));
   asio::io_context context;
-  Meter meter(context, options->endpoint("listen"), options->endpoint("target"));
+  ThroughputMeter meter(context, options->endpoint("listen"), options->endpoint("target"));
   const double rate = meter.run(packets, options->number("packets"));
   std::cout << static_cast<std::uint64_t>(rate) << " packets/s, lost " << meter.lost() << "\n";
   return 0;
--- a/tests/sim/history_checker_test.cc
+++ b/tests/sim/history_checker_test.cc
@@ -21,7 +21,7 @@
           event(3, EventKind::kRequestSent, "c1", "s1", "r1"),
           event(4, EventKind::kRequestExecuted, "b1", "s1", "r1"),
           event(5, EventKind::kRequestDone, "c1", "s1", "r1"),
-          event(6, EventKind::kAnswerWhole, "c1", "s1", "r2")};
+          event(6, EventKind::kResponseComplete, "c1", "s1", "r2")};
 }
 
 CheckerReport check(std::vector<Event> added) {
@@ -46,18 +46,18 @@
   BOOST_TEST(check({event(7, EventKind::kSessionAtBackend, "b2", "s1")}).brokenSessions == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(SessionThatABackendDoesNotHoldIsBroken) {
+BOOST_AUTO_TEST_CASE(SessionUnknownToItsBackendIsBroken) {
   BOOST_TEST(check({event(7, EventKind::kSessionUnknown, "b2", "s1")}).brokenSessions == 1U);
   BOOST_TEST(check({event(7, EventKind::kSessionBroken, "c1", "s1")}).brokenSessions == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(SecondExecutionIsFound) {
+BOOST_AUTO_TEST_CASE(DuplicateExecutionIsReported) {
   BOOST_TEST(check({event(7, EventKind::kRequestExecuted, "b2", "s1", "r1")}).doubleExecutions ==
              1U);
-  BOOST_TEST(check({event(7, EventKind::kRequestRepeated, "b1", "s1", "r1")}).ok());
+  BOOST_TEST(check({event(7, EventKind::kRequestDuplicate, "b1", "s1", "r1")}).ok());
 }
 
-BOOST_AUTO_TEST_CASE(FalseNotRunIsFoundInEitherOrder) {
+BOOST_AUTO_TEST_CASE(FalseRefusalIsReportedInEitherOrder) {
   BOOST_TEST(check({event(7, EventKind::kRequestRefused, "c1", "s1", "r1")}).falseRefusals == 1U);
   BOOST_TEST(check({event(7, EventKind::kRequestRefused, "c1", "s1", "r9"),
                     event(9, EventKind::kRequestExecuted, "b1", "s1", "r9")})
@@ -65,61 +65,63 @@
   BOOST_TEST(check({event(7, EventKind::kRequestRefused, "c1", "s1", "r9")}).ok());
 }
 
-BOOST_AUTO_TEST_CASE(AnsweredButNeverExecutedIsFound) {
+BOOST_AUTO_TEST_CASE(ResponseWithoutExecutionIsReported) {
   BOOST_TEST(check({event(7, EventKind::kRequestDone, "c1", "s1", "r9")}).lostRequests == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(StrayAndWrongAnswerAreFound) {
-  BOOST_TEST(check({event(7, EventKind::kStray, "b2")}).strays == 1U);
-  BOOST_TEST(check({event(7, EventKind::kAnswerWrong, "c1", "s1", "r2")}).wrongAnswers == 1U);
+BOOST_AUTO_TEST_CASE(MisdeliveryAndInvalidResponseAreReported) {
+  BOOST_TEST(check({event(7, EventKind::kMisdelivered, "b2")}).misdelivered == 1U);
+  BOOST_TEST(check({event(7, EventKind::kResponseInvalid, "c1", "s1", "r2")}).invalidResponses ==
+             1U);
 }
 
-BOOST_AUTO_TEST_CASE(LateNewWorkIsFound) {
-  const Event leaving = event(1000, EventKind::kBackendLeaving, "b2");
-  BOOST_TEST(check({leaving, event(4000, EventKind::kSessionAtBackend, "b2", "s2")}).ok());
-  BOOST_TEST(check({leaving, event(4001, EventKind::kSessionAtBackend, "b2", "s2")}).lateNewWork ==
-             1U);
+BOOST_AUTO_TEST_CASE(LateSessionOnDrainingBackendIsReported) {
+  const Event draining = event(1000, EventKind::kBackendDraining, "b2");
+  BOOST_TEST(check({draining, event(4000, EventKind::kSessionAtBackend, "b2", "s2")}).ok());
+  BOOST_TEST(
+      check({draining, event(4001, EventKind::kSessionAtBackend, "b2", "s2")}).lateNewSessions ==
+      1U);
 }
 
-BOOST_AUTO_TEST_CASE(BoundsCountFromTheEndOfAnOutage) {
+BOOST_AUTO_TEST_CASE(DelaysAreMeasuredFromTheEndOfAnOutage) {
   const std::vector<Event> outage{
       event(500, EventKind::kFault, "operator", "", "", "platform_down"),
-      event(1000, EventKind::kBackendLeaving, "b2"),
+      event(1000, EventKind::kBackendDraining, "b2"),
       event(6000, EventKind::kSessionAtBackend, "b2", "s2"),
       event(8000, EventKind::kFault, "operator", "", "", "platform_up")};
   BOOST_TEST(check(outage).ok());
   std::vector<Event> late = outage;
   late.push_back(event(11001, EventKind::kSessionAtBackend, "b2", "s3"));
-  BOOST_TEST(check(late).lateNewWork == 1U);
+  BOOST_TEST(check(late).lateNewSessions == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(RevertedConfigurationIsFound) {
-  const auto inForce = [](std::int64_t time, const char* version) {
-    return event(time, EventKind::kConfigurationInForce, "lb-1", "", "", version);
+BOOST_AUTO_TEST_CASE(RevertedConfigurationIsReported) {
+  const auto active = [](std::int64_t time, const char* version) {
+    return event(time, EventKind::kConfigurationActive, "lb-1", "", "", version);
   };
-  BOOST_TEST(check({inForce(10, "1"), inForce(20, "2"), inForce(30, "2")}).ok());
-  BOOST_TEST(check({inForce(10, "2"), inForce(20, "1")}).configurationFaults == 1U);
+  BOOST_TEST(check({active(10, "1"), active(20, "2"), active(30, "2")}).ok());
+  BOOST_TEST(check({active(10, "2"), active(20, "1")}).configurationViolations == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(SlowConfigurationIsFound) {
+BOOST_AUTO_TEST_CASE(SlowConfigurationIsReported) {
   const auto publish = event(1000, EventKind::kConfigurationPublished, "operator", "", "", "2");
-  const auto first = event(10, EventKind::kConfigurationInForce, "lb-1", "", "", "1");
+  const auto first = event(10, EventKind::kConfigurationActive, "lb-1", "", "", "1");
   const auto at = [](std::int64_t time) {
-    return event(time, EventKind::kConfigurationInForce, "lb-1", "", "", "2");
+    return event(time, EventKind::kConfigurationActive, "lb-1", "", "", "2");
   };
   BOOST_TEST(check({first, publish, at(10000)}).ok());
-  BOOST_TEST(check({first, publish, at(10001)}).configurationFaults == 1U);
+  BOOST_TEST(check({first, publish, at(10001)}).configurationViolations == 1U);
   // A daemon that starts later is not late.
   BOOST_TEST(check({publish, at(60000)}).ok());
 }
 
-BOOST_AUTO_TEST_CASE(ImbalanceIsLargestOverMean) {
+BOOST_AUTO_TEST_CASE(ImbalanceIsMaximumOverMean) {
   const CheckerReport report = check({event(7, EventKind::kSessionAtBackend, "b2", "s2"),
                                       event(8, EventKind::kSessionAtBackend, "b2", "s3")});
   BOOST_TEST(report.imbalance.at("web") == 4.0 / 3, boost::test_tools::tolerance(1e-9));
 }
 
-BOOST_AUTO_TEST_CASE(LinesSurviveTheFile) {
+BOOST_AUTO_TEST_CASE(EventLinesRoundTrip) {
   HistoryReader reader;
   const Event written = event(77, EventKind::kRequestRefused, "c\"1", "s1", "r1", "x y");
   const auto read = reader.parseLine(toLine(written));
--- a/tests/sim/world_test.cc
+++ b/tests/sim/simulation_test.cc
@@ -1,5 +1,5 @@
 /// The product in the model, against designs without its mechanisms.
-#include "sim/world.h"
+#include "sim/simulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -29,7 +29,7 @@
 RunResult runWith(std::uint64_t seed, Variant variant, std::vector<FaultSpec> faults) {
   Scenario scenario = smallScenario(seed, variant);
   scenario.faults = std::move(faults);
-  return World(scenario).run();
+  return Simulation(scenario).run();
 }
 
 std::string historyText(const RunResult& result) {
@@ -66,18 +66,18 @@
         {15s, FaultKind::kKillDaemon, "hall-1-lb-1"},
         {19s, FaultKind::kJoinDaemon, "hall-1"}}},
       {"freeze over a drain and a late wake-up",
-       {{12s, FaultKind::kFreezeDaemon, "hall-2-lb-3"},
+       {{12s, FaultKind::kSuspendDaemon, "hall-2-lb-3"},
         {13s, FaultKind::kDrainBackend, "rate-watch-2"},
-        {19s, FaultKind::kWakeDaemon, "hall-2-lb-3"}}},
+        {19s, FaultKind::kResumeDaemon, "hall-2-lb-3"}}},
       {"freeze over two versions that undo each other",
-       {{12s, FaultKind::kFreezeDaemon, "hall-2-lb-3"},
+       {{12s, FaultKind::kSuspendDaemon, "hall-2-lb-3"},
         {13s, FaultKind::kReplacePolicy, "rate-watch"},
         {16s, FaultKind::kReplacePolicy, "rate-watch"},
-        {19s, FaultKind::kWakeDaemon, "hall-2-lb-3"}}},
+        {19s, FaultKind::kResumeDaemon, "hall-2-lb-3"}}},
       {"cut and heal around an added back end",
-       {{12s, FaultKind::kCutZone, "hall-2"},
+       {{12s, FaultKind::kPartitionZone, "hall-2"},
         {14s, FaultKind::kAddBackend, "rate-watch"},
-        {19s, FaultKind::kHealZone, "hall-2"}}},
+        {19s, FaultKind::kRecoverZone, "hall-2"}}},
       {"platform down and stale, a daemon joins",
        {{12s, FaultKind::kDrainBackend, "rate-watch-2"},
         {15s, FaultKind::kPlatformDown, ""},
@@ -91,7 +91,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(WorldTest)
+BOOST_AUTO_TEST_SUITE(SimulationTest)
 
 BOOST_AUTO_TEST_CASE(SameSeedGivesTheSameHistory) {
   const auto once = runWith(5, Variant::kCobaltgauge, faultCases()[0].faults);
@@ -101,7 +101,7 @@
   BOOST_TEST((historyText(once) != historyText(other)));
 }
 
-BOOST_AUTO_TEST_CASE(EachFaultAloneBreaksNothing) {
+BOOST_AUTO_TEST_CASE(SingleFaultsKeepInvariants) {
   for (const FaultCase& faultCase : faultCases()) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       const RunResult result = runWith(seed, Variant::kCobaltgauge, faultCase.faults);
@@ -115,19 +115,19 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(TableWithoutStateBreaksSessionsOnADrain) {
+BOOST_AUTO_TEST_CASE(StatelessTableBreaksSessionsOnDrain) {
   const RunResult result = runWith(1, Variant::kTable, faultCases()[0].faults);
   BOOST_TEST(result.report.brokenSessions > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(LocalCacheAloneBreaksSessionsWhenADaemonJoins) {
+BOOST_AUTO_TEST_CASE(LocalFlowCacheBreaksSessionsOnDaemonJoin) {
   const std::vector<FaultSpec> faults{{12s, FaultKind::kAddBackend, "rate-watch"},
                                       {14s, FaultKind::kJoinDaemon, "hall-1"}};
   BOOST_TEST(runWith(1, Variant::kCachedTable, faults).report.brokenSessions > 0U);
   BOOST_TEST(runWith(1, Variant::kCobaltgauge, faults).report.brokenSessions == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(MixedFaultsBreakNothingOnTheseSeeds) {
+BOOST_AUTO_TEST_CASE(RandomFaultsKeepInvariants) {
   SweepOptions options;
   options.lastSeed = 40;
   options.variants = {Variant::kCobaltgauge};
@@ -138,13 +138,13 @@
   BOOST_TEST(summary.runs == 40U);
   BOOST_TEST(summary.totals.brokenSessions == 0U);
   BOOST_TEST(summary.totals.doubleExecutions == 0U);
-  BOOST_TEST(summary.totals.strays == 0U);
+  BOOST_TEST(summary.totals.misdelivered == 0U);
   BOOST_TEST(summary.totals.falseRefusals == 0U);
-  BOOST_TEST(summary.totals.lateNewWork == 0U);
-  BOOST_TEST(summary.totals.configurationFaults == 0U);
+  BOOST_TEST(summary.totals.lateNewSessions == 0U);
+  BOOST_TEST(summary.totals.configurationViolations == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(SweepDoesNotDependOnThreads) {
+BOOST_AUTO_TEST_CASE(SweepResultIsIndependentOfThreadCount) {
   SweepOptions options;
   options.lastSeed = 3;
   options.variants = {Variant::kCobaltgauge, Variant::kTable};
@@ -154,7 +154,7 @@
   BOOST_TEST(one == summariesToJson(scenario, sweep(scenario, options)));
 }
 
-BOOST_AUTO_TEST_CASE(ShippedScenariosLoadAndBadOnesSayWhy) {
+BOOST_AUTO_TEST_CASE(ScenarioFilesLoadAndInvalidOnesAreRejected) {
   ScenarioLoader loader;
   for (const char* name : {"cascadia", "pohjatiib", "full_house"}) {
     const std::string path = std::string(COBALTGAUGE_SOURCE_DIR) + "/scenarios/" + name + ".toml";
--- a/tests/sim/stateful_test.cc
+++ b/tests/sim/stateful_test.cc
@@ -1,5 +1,5 @@
 /// Stateful fuzzing: RapidCheck makes and shrinks sequences of commands on a fleet of the daemons'
-/// own core; the oracle is a map from flow to the back end that first got it.
+/// own core; the model is a map from flow to the back end that first got it.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -16,21 +16,21 @@
 
 namespace {
 
-constexpr std::size_t kFirstDaemons = 3;
-constexpr std::size_t kMostDaemons = 6;
+constexpr std::size_t kInitialDaemons = 3;
+constexpr std::size_t kMaxDaemons = 6;
 constexpr std::size_t kBackends = 6;
 
-/// What a test may know of the fleet: the oracle.
-struct Oracle {
-  std::vector<bool> running = std::vector<bool>(kFirstDaemons, true);
-  std::vector<bool> frozen = std::vector<bool>(kFirstDaemons, false);
+/// What a test may know of the fleet: the model.
+struct Model {
+  std::vector<bool> running = std::vector<bool>(kInitialDaemons, true);
+  std::vector<bool> suspended = std::vector<bool>(kInitialDaemons, false);
   std::size_t draining = 0;  ///< Back ends 0 to draining-1 are leaving.
   int opened = 0;
 
   std::vector<std::size_t> serving() const {
     std::vector<std::size_t> result;
     for (std::size_t i = 0; i < running.size(); ++i) {
-      if (running[i] && !frozen[i]) {
+      if (running[i] && !suspended[i]) {
         result.push_back(i);
       }
     }
@@ -49,10 +49,10 @@
       }
       compiler_.prepared["drained-" + std::to_string(drained)] = service;
     }
-    for (std::size_t i = 0; i < kFirstDaemons; ++i) {
+    for (std::size_t i = 0; i < kInitialDaemons; ++i) {
       join();
     }
-    pass(6s);
+    advance(6s);
   }
 
   void join() {
@@ -73,25 +73,25 @@
   }
 
   void kill(std::size_t index) { daemons_[index]->running = false; }
-  void freeze(std::size_t index) { daemons_[index]->frozen = true; }
-  void wake(std::size_t index) {
-    daemons_[index]->frozen = false;
+  void suspend(std::size_t index) { daemons_[index]->suspended = true; }
+  void resume(std::size_t index) {
+    daemons_[index]->suspended = false;
     for (const Delivery& delivery : std::exchange(daemons_[index]->inbox, {})) {
       daemons_[index]->balancer->onMessage(delivery.from, delivery.message, now_);
     }
   }
   void beginLeaving(std::size_t index) { daemons_[index]->balancer->beginLeaving(now_); }
-  void endLeaving(std::size_t index) {
+  void finishShutdown(std::size_t index) {
     daemons_[index]->balancer->finishLeaving(now_);
     deliver();
     kill(index);
   }
 
-  void drainOne() {
+  void drainNextBackend() {
     ++drained_;
     ++version_;
     for (const auto& daemon : daemons_) {
-      if (daemon->running && !daemon->frozen) {
+      if (daemon->running && !daemon->suspended) {
         daemon->balancer->offerConfiguration(document(), now_);
         break;  // One reader; the others learn it from their peers.
       }
@@ -104,13 +104,13 @@
     packet.flow.source.port = static_cast<std::uint16_t>(20000 + flow / 256);
     Verdict verdict = daemons_[ingress]->balancer->onPacket(packet, now_);
     for (int hop = 0; hop < 3; ++hop) {
-      const auto* pass = std::get_if<ForwardToPeer>(&verdict);
-      Daemon* peer = pass == nullptr ? nullptr : find(pass->destination);
-      if (peer == nullptr || !peer->running || peer->frozen) {
+      const auto* peerForward = std::get_if<ForwardToPeer>(&verdict);
+      Daemon* peer = peerForward == nullptr ? nullptr : find(peerForward->destination);
+      if (peer == nullptr || !peer->running || peer->suspended) {
         break;
       }
-      const PeerArrival arrival{daemons_[ingress]->balancer->membership().self().id, pass->hops,
-                                pass->wantsListing};
+      const PeerArrival arrival{daemons_[ingress]->balancer->membership().self().id,
+                                peerForward->hops, peerForward->wantsListing};
       verdict = peer->balancer->onPeerPacket(packet, arrival, now_);
     }
     deliver();
@@ -118,19 +118,19 @@
     return forward == nullptr ? kNoBackend : forward->backend.id;
   }
 
-  bool isLeaving(BackendId backend) const {
+  bool isDraining(BackendId backend) const {
     const Service& service = compiler_.prepared.at("drained-" + std::to_string(drained_));
     return std::any_of(service.backends.begin(), service.backends.end(), [&](const Backend& item) {
       return item.address.id == backend && item.state == BackendState::kLeaving;
     });
   }
 
-  void pass(Duration duration) {
+  void advance(Duration duration) {
     const Time end = now_ + duration;
     while (now_ < end) {
       now_ += kTickInterval;
       for (const auto& daemon : daemons_) {
-        if (daemon->running && !daemon->frozen) {
+        if (daemon->running && !daemon->suspended) {
           daemon->balancer->onTick(now_);
         }
       }
@@ -147,7 +147,7 @@
     std::unique_ptr<Balancer> balancer;
     std::vector<Delivery> inbox;  ///< Of a suspended process.
     bool running = true;
-    bool frozen = false;
+    bool suspended = false;
   };
 
   ConfigurationDocument document() const {
@@ -165,10 +165,10 @@
 
   void deliver() {
     constexpr std::uint64_t kLossPermille = 10;
-    constexpr int kRounds = 4;  // Ping-pong beyond this waits for the next tick.
-    for (int round = 0; round < kRounds; ++round) {
+    constexpr int kDeliveryRounds = 4;  // Ping-pong beyond this waits for the next tick.
+    for (int round = 0; round < kDeliveryRounds; ++round) {
       for (const auto& from : daemons_) {
-        if (!from->running || from->frozen) {
+        if (!from->running || from->suspended) {
           continue;
         }
         const MemberId sender = from->balancer->membership().self().id;
@@ -177,7 +177,7 @@
           if (to == nullptr || !to->running || random_.chance(kLossPermille)) {
             continue;
           }
-          if (to->frozen) {
+          if (to->suspended) {
             to->inbox.push_back({sender, std::move(message.message)});
           } else {
             to->balancer->onMessage(sender, message.message, now_);
@@ -195,140 +195,141 @@
   std::size_t drained_ = 0;
 
  public:
-  std::map<int, BackendId> chosen;  ///< Back end of each flow, by its first packet.
+  std::map<int, BackendId> firstBackends;  ///< Back end of each flow, by its first packet.
 };
 
-using FleetCommand = rc::state::Command<Oracle, FleetUnderTest>;
+using FleetCommand = rc::state::Command<Model, FleetUnderTest>;
 
 /// Sends packets of all flows through every serving daemon, twice a second for `seconds`.
-void exerciseFlows(const Oracle& oracle, FleetUnderTest& fleet, int seconds) {
+void checkFlows(const Model& model, FleetUnderTest& fleet, int seconds) {
   for (int round = 0; round < seconds * 2; ++round) {
-    for (auto& [flow, backend] : fleet.chosen) {
-      for (const std::size_t ingress : oracle.serving()) {
+    for (auto& [flow, backend] : fleet.firstBackends) {
+      for (const std::size_t ingress : model.serving()) {
         const BackendId reached = fleet.send(ingress, flow);
         RC_ASSERT(reached == kNoBackend || reached == backend);
       }
     }
-    fleet.pass(500ms);
+    fleet.advance(500ms);
   }
 }
 
-/// Sends packets of all flows as exerciseFlows() does, by the daemons that serve after a command.
-void exerciseAfter(const FleetCommand& command, const Oracle& before, FleetUnderTest& fleet,
-                   int seconds) {
-  Oracle after = before;
+/// Sends packets of all flows as checkFlows() does, by the daemons that serve after a command.
+void checkFlowsAfter(const FleetCommand& command, const Model& before, FleetUnderTest& fleet,
+                     int seconds) {
+  Model after = before;
   command.apply(after);
-  exerciseFlows(after, fleet, seconds);
+  checkFlows(after, fleet, seconds);
 }
 
 struct OpenFlows : FleetCommand {
-  void apply(Oracle& oracle) const override { oracle.opened += 10; }
-  void run(const Oracle& before, FleetUnderTest& fleet) const override {
+  void apply(Model& model) const override { model.opened += 10; }
+  void run(const Model& before, FleetUnderTest& fleet) const override {
     const std::vector<std::size_t> serving = before.serving();
     for (int i = 0; i < 10; ++i) {
       const int flow = before.opened + i;
       const std::size_t ingress = serving[static_cast<std::size_t>(flow) % serving.size()];
       const BackendId backend = fleet.send(ingress, flow);
       if (backend != kNoBackend) {
-        fleet.chosen[flow] = backend;
+        fleet.firstBackends[flow] = backend;
       }
     }
-    exerciseFlows(before, fleet, 1);
+    checkFlows(before, fleet, 1);
   }
   void show(std::ostream& out) const override { out << "open flows"; }
 };
 
 struct DrainBackend : FleetCommand {
-  void checkPreconditions(const Oracle& oracle) const override {
-    RC_PRE(oracle.draining + 2 < kBackends);
+  void checkPreconditions(const Model& model) const override {
+    RC_PRE(model.draining + 2 < kBackends);
   }
-  void apply(Oracle& oracle) const override { ++oracle.draining; }
-  void run(const Oracle& before, FleetUnderTest& fleet) const override {
-    fleet.drainOne();
-    fleet.pass(200ms);
-    exerciseFlows(before, fleet, 3);
+  void apply(Model& model) const override { ++model.draining; }
+  void run(const Model& before, FleetUnderTest& fleet) const override {
+    fleet.drainNextBackend();
+    fleet.advance(200ms);
+    checkFlows(before, fleet, 3);
     // A flow that opens now must not reach a back end that leaves.
     const int flow = 5000 + static_cast<int>(before.draining);
     const BackendId backend = fleet.send(before.serving().front(), flow);
-    RC_ASSERT(backend == kNoBackend || !fleet.isLeaving(backend));
+    RC_ASSERT(backend == kNoBackend || !fleet.isDraining(backend));
   }
   void show(std::ostream& out) const override { out << "drain a back end"; }
 };
 
 struct JoinDaemon : FleetCommand {
-  void checkPreconditions(const Oracle& oracle) const override {
-    RC_PRE(oracle.running.size() < kMostDaemons);
+  void checkPreconditions(const Model& model) const override {
+    RC_PRE(model.running.size() < kMaxDaemons);
   }
-  void apply(Oracle& oracle) const override {
-    oracle.running.push_back(true);
-    oracle.frozen.push_back(false);
+  void apply(Model& model) const override {
+    model.running.push_back(true);
+    model.suspended.push_back(false);
   }
-  void run(const Oracle& before, FleetUnderTest& fleet) const override {
+  void run(const Model& before, FleetUnderTest& fleet) const override {
     fleet.join();
-    exerciseAfter(*this, before, fleet, 3);
+    checkFlowsAfter(*this, before, fleet, 3);
   }
   void show(std::ostream& out) const override { out << "join"; }
 };
 
 /// Commands that pick one serving daemon; at least two others keep serving.
 struct OneDaemonCommand : FleetCommand {
-  explicit OneDaemonCommand(const Oracle& oracle) {
-    const std::vector<std::size_t> serving = oracle.serving();
+  explicit OneDaemonCommand(const Model& model) {
+    const std::vector<std::size_t> serving = model.serving();
     index = serving.empty() ? 0 : *rc::gen::elementOf(serving);
   }
-  void checkPreconditions(const Oracle& oracle) const override {
-    RC_PRE(oracle.serving().size() > 2);
-    RC_PRE(index < oracle.running.size() && oracle.running[index] && !oracle.frozen[index]);
+  void checkPreconditions(const Model& model) const override {
+    RC_PRE(model.serving().size() > 2);
+    RC_PRE(index < model.running.size() && model.running[index] && !model.suspended[index]);
   }
   std::size_t index;
 };
 
 struct KillDaemon : OneDaemonCommand {
   using OneDaemonCommand::OneDaemonCommand;
-  void apply(Oracle& oracle) const override { oracle.running[index] = false; }
-  void run(const Oracle& before, FleetUnderTest& fleet) const override {
+  void apply(Model& model) const override { model.running[index] = false; }
+  void run(const Model& before, FleetUnderTest& fleet) const override {
     fleet.kill(index);
-    exerciseAfter(*this, before, fleet, 4);
+    checkFlowsAfter(*this, before, fleet, 4);
   }
   void show(std::ostream& out) const override { out << "kill " << index; }
 };
 
 struct StopDaemon : OneDaemonCommand {
   using OneDaemonCommand::OneDaemonCommand;
-  void apply(Oracle& oracle) const override { oracle.running[index] = false; }
-  void run(const Oracle& before, FleetUnderTest& fleet) const override {
+  void apply(Model& model) const override { model.running[index] = false; }
+  void run(const Model& before, FleetUnderTest& fleet) const override {
     fleet.beginLeaving(index);
-    exerciseFlows(before, fleet, 2);
-    fleet.endLeaving(index);
-    exerciseAfter(*this, before, fleet, 1);
+    checkFlows(before, fleet, 2);
+    fleet.finishShutdown(index);
+    checkFlowsAfter(*this, before, fleet, 1);
   }
   void show(std::ostream& out) const override { out << "planned stop of " << index; }
 };
 
-struct FreezeDaemon : OneDaemonCommand {
+struct SuspendDaemon : OneDaemonCommand {
   using OneDaemonCommand::OneDaemonCommand;
-  void apply(Oracle& oracle) const override { oracle.frozen[index] = true; }
-  void run(const Oracle& before, FleetUnderTest& fleet) const override {
-    fleet.freeze(index);
-    exerciseAfter(*this, before, fleet, 4);
+  void apply(Model& model) const override { model.suspended[index] = true; }
+  void run(const Model& before, FleetUnderTest& fleet) const override {
+    fleet.suspend(index);
+    checkFlowsAfter(*this, before, fleet, 4);
   }
   void show(std::ostream& out) const override { out << "freeze " << index; }
 };
 
-struct WakeDaemons : FleetCommand {
-  void checkPreconditions(const Oracle& oracle) const override {
-    RC_PRE(std::find(oracle.frozen.begin(), oracle.frozen.end(), true) != oracle.frozen.end());
+struct ResumeDaemons : FleetCommand {
+  void checkPreconditions(const Model& model) const override {
+    RC_PRE(std::find(model.suspended.begin(), model.suspended.end(), true) !=
+           model.suspended.end());
   }
-  void apply(Oracle& oracle) const override {
-    std::fill(oracle.frozen.begin(), oracle.frozen.end(), false);
+  void apply(Model& model) const override {
+    std::fill(model.suspended.begin(), model.suspended.end(), false);
   }
-  void run(const Oracle& before, FleetUnderTest& fleet) const override {
-    for (std::size_t i = 0; i < before.frozen.size(); ++i) {
-      if (before.frozen[i] && before.running[i]) {
-        fleet.wake(i);
+  void run(const Model& before, FleetUnderTest& fleet) const override {
+    for (std::size_t i = 0; i < before.suspended.size(); ++i) {
+      if (before.suspended[i] && before.running[i]) {
+        fleet.resume(i);
       }
     }
-    exerciseAfter(*this, before, fleet, 3);
+    checkFlowsAfter(*this, before, fleet, 3);
   }
   void show(std::ostream& out) const override { out << "wake all"; }
 };
@@ -337,14 +338,14 @@
 
 BOOST_AUTO_TEST_SUITE(StatefulTest)
 
-BOOST_AUTO_TEST_CASE(FlowsKeepTheirBackendThroughAnySequence) {
+BOOST_AUTO_TEST_CASE(FlowsKeepTheirBackendInRandomCommandSequences) {
   const bool ok = rc::check("flows keep their back end", [] {
     FleetUnderTest fleet;
-    const Oracle oracle;
+    const Model model;
     rc::state::check(
-        oracle, fleet,
+        model, fleet,
         rc::state::gen::execOneOfWithArgs<OpenFlows, OpenFlows, DrainBackend, JoinDaemon,
-                                          KillDaemon, StopDaemon, FreezeDaemon, WakeDaemons>());
+                                          KillDaemon, StopDaemon, SuspendDaemon, ResumeDaemons>());
   });
   BOOST_TEST(ok);
 }
