--- a/src/sim/caching_compiler.h
+++ b/src/sim/caching_compiler.h
@@ -1,6 +1,6 @@
 /// @file
-/// Compiles each configuration once for all simulated daemons of a process. Every daemon would get
-/// the same result, and the policy would otherwise run once per daemon.
+/// Configuration compiler that caches results by content hash, so that simulated daemons of one
+/// process don't compile the same configuration repeatedly.
 #pragma once
 
 #include <map>
--- a/src/sim/event_queue.cc
+++ b/src/sim/event_queue.cc
@@ -11,7 +11,7 @@
 
 void EventQueue::runUntil(core::Time end) {
   while (!items_.empty() && items_.top().time <= end) {
-    // The queue hands out const references only; the action is moved out before the pop.
+    // priority_queue::top() returns a const reference; moving the action avoids a copy.
     Item item = std::move(const_cast<Item&>(items_.top()));
     items_.pop();
     now_ = item.time;
--- a/src/sim/event_queue.h
+++ b/src/sim/event_queue.h
@@ -1,6 +1,6 @@
 /// @file
-/// Discrete-event loop in virtual time. Events at the same time run in the order of scheduling, so
-/// a run with the same seed is the same run.
+/// Discrete-event loop in virtual time. Events with equal timestamps run in scheduling order, so
+/// that runs with the same seed are identical.
 #pragma once
 
 #include <cstdint>
@@ -18,11 +18,11 @@
 
   core::Time now() const { return now_; }
 
-  /// Schedules an action; a time in the past means "now".
+  /// Schedules an action; times in the past are clamped to now().
   void at(core::Time time, Action action);
   void after(core::Duration delay, Action action) { at(now_ + delay, std::move(action)); }
 
-  /// Runs events until the queue is empty or the next one lies after `end`.
+  /// Runs all events up to and including `end`, then advances the clock to `end`.
   void runUntil(core::Time end);
 
   std::uint64_t executed() const { return executed_; }
--- a/src/sim/fault_generator.cc
+++ b/src/sim/fault_generator.cc
@@ -61,7 +61,7 @@
     const std::string daemon = pick(daemons_);
     std::erase(daemons_, daemon);
     add(at, kind, daemon);
-    // A replacement joins in any zone, with a name that the world chooses.
+    // The replacement joins a random zone; the simulation assigns its name.
     add(recoveryTime(at), FaultKind::kJoinDaemon, pickZone());
   }
 
--- a/src/sim/fault_generator.h
+++ b/src/sim/fault_generator.h
@@ -1,5 +1,5 @@
 /// @file
-/// Random but plausible fault schedules from a seed: what operators do and what fails, mixed.
+/// Generates random schedules of failures and operator actions from a seed.
 #pragma once
 
 #include <vector>
@@ -8,8 +8,9 @@
 
 namespace cobaltgauge::sim {
 
-/// @return faults between the tenth second and five seconds before the scenario's end, sorted by
-/// time. At least two daemons stay; whatever is suspended or cut recovers.
+/// @return faults sorted by time. New faults occur from 10 s after the start to 5 s before the end
+/// of the scenario; every suspension, partition and platform outage is followed by its recovery. At
+/// least three of the initial daemons are never killed or stopped.
 std::vector<FaultSpec> generateFaults(const Scenario& scenario, std::uint64_t seed);
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/history.cc
+++ b/src/sim/history.cc
@@ -62,7 +62,7 @@
 std::optional<Event> HistoryReader::parseLine(const std::string& line) {
   const nlohmann::json object = nlohmann::json::parse(line, nullptr, false);
   if (!object.is_object()) {
-    lastReason_ = "not a JSON object";
+    lastReason_ = "expected a JSON object";
     return std::nullopt;
   }
   Event event;
@@ -72,14 +72,14 @@
       continue;
     }
     if (!value.is_string()) {
-      lastReason_ = "field '" + key + "' has the wrong type";
+      lastReason_ = "field '" + key + "' has an invalid type";
       return std::nullopt;
     }
     const auto text = value.get<std::string>();
     if (key == "kind") {
       const std::optional<EventKind> kind = kindFromName(text);
       if (!kind) {
-        lastReason_ = "unknown kind '" + text + "'";
+        lastReason_ = "unknown event kind '" + text + "'";
         return std::nullopt;
       }
       event.kind = *kind;
@@ -108,7 +108,7 @@
 std::optional<std::vector<Event>> HistoryReader::readFile(const std::string& path) {
   std::ifstream in(path);
   if (!in) {
-    lastReason_ = path + ": cannot be opened";
+    lastReason_ = path + ": cannot open file";
     return std::nullopt;
   }
   std::vector<Event> events;
--- a/src/sim/history.h
+++ b/src/sim/history.h
@@ -1,6 +1,6 @@
 /// @file
-/// History of a run: what clients, back ends and operators saw, one JSON object a line. Written by
-/// the stand-ins and the simulator, read by the checker. Knows nothing of the core.
+/// Event history of a run as observed by clients, backends and operators, one JSON object per line.
+/// Written by the stand-ins and the simulator, read by the history checker.
 #pragma once
 
 #include <cstdint>
@@ -12,31 +12,31 @@
 namespace cobaltgauge::sim {
 
 enum class EventKind : std::uint8_t {
-  kSessionOpened,           ///< Caller: its session was accepted. actor = client.
-  kSessionAtBackend,        ///< Back end: a new session arrived. actor = back end.
-  kSessionUnknown,          ///< Back end: a packet of a session that it does not hold.
-  kSessionBroken,           ///< Caller: was told that its session does not exist any more.
-  kRequestSent,             ///< Caller: first transmission of a request.
-  kRequestDone,             ///< Caller: was told that the request was executed.
-  kRequestRefused,          ///< Caller: was told "not run".
-  kRequestOutcomeUnknown,   ///< Caller: gave up, or was told "outcome unknown".
-  kRequestExecuted,         ///< Back end: executed the request.
-  kRequestDuplicate,        ///< Back end: dropped a repeat of a request.
-  kResponseComplete,        ///< Caller: a large answer arrived whole.
-  kResponseInvalid,         ///< Caller: a large answer was incomplete or belonged elsewhere.
-  kMisdelivered,            ///< Back end: a packet of another service or incarnation.
-  kBackendDraining,         ///< Operator: configuration with a leaving back end was published.
-  kConfigurationPublished,  ///< Operator: a version was published. detail = version.
-  kConfigurationActive,     ///< Daemon: a version came in force. detail = version.
-  kFault,                   ///< Whoever caused a fault. detail = which.
+  kSessionOpened,           ///< Client: its session was accepted. actor = client.
+  kSessionAtBackend,        ///< Backend: accepted a new session. actor = backend.
+  kSessionUnknown,          ///< Backend: received a packet for an unknown session.
+  kSessionBroken,           ///< Client: the backend reported an unknown session.
+  kRequestSent,             ///< Client: first transmission of a request.
+  kRequestDone,             ///< Client: the request was confirmed as executed.
+  kRequestRefused,          ///< Client: the request was refused as not executed.
+  kRequestOutcomeUnknown,   ///< Client: timed out, or the outcome was reported as unknown.
+  kRequestExecuted,         ///< Backend: executed the request.
+  kRequestDuplicate,        ///< Backend: dropped a retransmitted request.
+  kResponseComplete,        ///< Client: received all blocks of a large response.
+  kResponseInvalid,         ///< Client: a response was missing, incomplete or wrong.
+  kMisdelivered,            ///< Backend: received a packet for another service or incarnation.
+  kBackendDraining,         ///< Operator: published a configuration that drains the backend.
+  kConfigurationPublished,  ///< Operator: published a version. detail = version.
+  kConfigurationActive,     ///< Daemon: activated a version. detail = version.
+  kFault,                   ///< Operator: injected a fault. detail = kind and target.
 };
 
-/// @return the name used in the file.
+/// @return the name used in history files.
 const char* toString(EventKind kind);
 
-/// One line of a history.
+/// One entry of a history.
 struct Event {
-  std::int64_t timeMs = 0;  ///< Milliseconds on one clock for the whole run.
+  std::int64_t timeMs = 0;  ///< Milliseconds; all processes of a run use the same clock.
   EventKind kind = EventKind::kFault;
   std::string actor;
   std::string service;
@@ -45,13 +45,13 @@
   std::string detail;
 };
 
-/// @return the event as one line of JSON without line end; empty fields are left out.
+/// @return the event as JSON without a line terminator; empty fields are omitted.
 std::string toLine(const Event& event);
 
-/// Appends events to a file, flushed line by line, so that a killed process loses nothing.
+/// Appends events to a file and flushes after each line, so that a killed process loses no events.
 class HistoryWriter {
  public:
-  /// @return false where the file cannot be opened.
+  /// @return false if the file cannot be opened.
   bool open(const std::string& path);
   void write(const Event& event);
 
@@ -59,7 +59,7 @@
   std::ofstream out_;
 };
 
-/// Reads histories; keeps the reason of a failure with file and line.
+/// Reads history files. lastReason() describes the last failure with file and line.
 class HistoryReader {
  public:
   std::optional<Event> parseLine(const std::string& line);
--- a/src/sim/history_checker.cc
+++ b/src/sim/history_checker.cc
@@ -8,7 +8,6 @@
 namespace cobaltgauge::sim {
 namespace {
 
-/// What is known of one request.
 struct RequestState {
   std::string session;
   int executions = 0;
@@ -16,7 +15,6 @@
   bool reportedNotRun = false;
 };
 
-/// What is known of one session.
 struct SessionState {
   std::string service;
   std::set<std::string> backends;
@@ -83,12 +81,12 @@
         ++report_.completeResponses;
         break;
       case EventKind::kResponseInvalid:
-        addViolation(report_.invalidResponses, "whole answer",
+        addViolation(report_.invalidResponses, "complete response",
                      event.session + " request " + event.request + ": " + event.detail);
         break;
       case EventKind::kMisdelivered:
         addViolation(
-            report_.misdelivered, "no stray",
+            report_.misdelivered, "no misdelivered packet",
             "at " + event.actor + ", t=" + std::to_string(event.timeMs) + " " + event.detail);
         break;
       case EventKind::kBackendDraining:
@@ -106,8 +104,8 @@
     }
   }
 
-  /// Outages keep a published change from being read: the platform is down or stale, or a zone is
-  /// cut off. Bounds on changes count from the end of an outage that began before they ran out.
+  /// Records the start or end of a platform outage or zone partition, during which daemons cannot
+  /// read published changes. Delays are measured from the end of such an outage.
   void recordOutage(const Event& event) {
     const bool begins = event.detail.starts_with("platform_down") ||
                         event.detail.starts_with("platform_stale") ||
@@ -124,7 +122,8 @@
     }
   }
 
-  /// @return when a change of `sinceMs` could last be learned, as far as is known now.
+  /// @return the time from which a change published at `sinceMs` was readable; `nowMs` during an
+  /// outage.
   std::int64_t readableSince(std::int64_t sinceMs, std::int64_t nowMs) const {
     if (platformOutage_ || partitionOutage_) {
       return nowMs;
@@ -136,10 +135,10 @@
     const auto draining = drainingSince_.find(event.actor);
     if (draining != drainingSince_.end() &&
         event.timeMs > readableSince(draining->second, event.timeMs) + bounds_.drainMs) {
-      addViolation(report_.lateNewSessions, "no new work on a leaving back end",
+      addViolation(report_.lateNewSessions, "no new session on a draining backend",
                    event.session + " at " + event.actor + " " +
                        std::to_string(event.timeMs - draining->second) +
-                       " ms after it began to leave");
+                       " ms after draining began");
     }
   }
 
@@ -148,7 +147,7 @@
     std::uint64_t& known = activeVersions_[event.actor];
     if (version < known) {
       addViolation(
-          report_.configurationViolations, "configuration never reverts",
+          report_.configurationViolations, "configuration version never decreases",
           event.actor + " went from " + std::to_string(known) + " to " + std::to_string(version));
     }
     known = std::max(known, version);
@@ -158,7 +157,7 @@
       return;
     }
     const std::int64_t delay = event.timeMs - readableSince(published->second, event.timeMs);
-    // A daemon that joins later takes the version when it joins.
+    // Daemons that join after the publication are not counted.
     if (firstSeen <= published->second) {
       report_.maxConfigurationDelayMs = std::max(report_.maxConfigurationDelayMs, delay);
     }
@@ -167,12 +166,12 @@
   void checkSessions() {
     for (const auto& [session, state] : sessions_) {
       if (state.reportedBroken) {
-        addViolation(report_.brokenSessions, "established session survives",
-                     session + ": a packet reached a back end that does not hold the session");
+        addViolation(report_.brokenSessions, "established sessions are kept",
+                     session + ": a packet reached a backend without this session");
       } else if (state.backends.size() > 1) {
         addViolation(
-            report_.brokenSessions, "established session survives",
-            session + " was opened on " + std::to_string(state.backends.size()) + " back ends");
+            report_.brokenSessions, "established sessions are kept",
+            session + " was opened on " + std::to_string(state.backends.size()) + " backends");
       }
     }
   }
@@ -180,22 +179,23 @@
   void checkRequests() {
     for (const auto& [request, state] : requests_) {
       if (state.executions > 1) {
-        addViolation(report_.doubleExecutions, "runs at most once",
+        addViolation(report_.doubleExecutions, "at-most-once execution",
                      request + " ran " + std::to_string(state.executions) + " times");
       }
       if (state.reportedNotRun && state.executions > 0) {
-        addViolation(report_.falseRefusals, "\"not run\" is true", request + " was executed");
+        addViolation(report_.falseRefusals, "refused requests are not executed",
+                     request + " was executed");
       }
       if (state.reportedDone && state.executions == 0) {
-        addViolation(report_.lostRequests, "an answered request was executed", request);
+        addViolation(report_.lostRequests, "confirmed requests are executed", request);
       }
     }
   }
 
   void checkConfigurationDelay() {
     if (report_.maxConfigurationDelayMs > bounds_.configurationMs) {
-      addViolation(report_.configurationViolations, "configuration in force in time",
-                   "slowest took " + std::to_string(report_.maxConfigurationDelayMs) + " ms");
+      addViolation(report_.configurationViolations, "configuration active in time",
+                   "maximum delay " + std::to_string(report_.maxConfigurationDelayMs) + " ms");
     }
   }
 
@@ -277,24 +277,24 @@
   row("sessions", report.sessions);
   row("requests", report.requests);
   row("executions", report.executions);
-  row("repeats dropped by back ends", report.droppedDuplicates);
-  row("large answers whole", report.completeResponses);
+  row("duplicates dropped by backends", report.droppedDuplicates);
+  row("large responses complete", report.completeResponses);
   row("refused as not run", report.refusals);
   row("outcome unknown", report.unknownOutcomes);
-  row("slowest configuration (ms)", report.maxConfigurationDelayMs);
+  row("max configuration delay (ms)", report.maxConfigurationDelayMs);
   for (const auto& [service, value] : report.imbalance) {
     row("imbalance " + service + " (max/mean)", value);
   }
-  row("BROKEN sessions", report.brokenSessions);
-  row("DOUBLED executions", report.doubleExecutions);
-  row("STRAYS", report.misdelivered);
-  row("FALSE refusals", report.falseRefusals);
-  row("LOST requests", report.lostRequests);
-  row("WRONG answers", report.invalidResponses);
-  row("LATE new work", report.lateNewSessions);
-  row("CONFIGURATION faults", report.configurationViolations);
+  row("broken sessions", report.brokenSessions);
+  row("duplicate executions", report.doubleExecutions);
+  row("misdelivered packets", report.misdelivered);
+  row("false refusals", report.falseRefusals);
+  row("lost requests", report.lostRequests);
+  row("invalid responses", report.invalidResponses);
+  row("late sessions while draining", report.lateNewSessions);
+  row("configuration violations", report.configurationViolations);
   for (std::size_t i = 0; i < std::min(report.violations.size(), kMaxShownViolations); ++i) {
-    out << "violated: " << report.violations[i].rule << ": " << report.violations[i].evidence
+    out << "violation: " << report.violations[i].rule << ": " << report.violations[i].evidence
         << "\n";
   }
   return out.str();
--- a/src/sim/history_checker.h
+++ b/src/sim/history_checker.h
@@ -1,6 +1,5 @@
 /// @file
-/// Checks a history against the rules that must always hold. Reads events only; knows nothing of
-/// the core or of how a run was made.
+/// Checks an event history against the invariants of the load balancer, independently of the core.
 #pragma once
 
 #include <map>
@@ -11,19 +10,19 @@
 
 namespace cobaltgauge::sim {
 
-/// Bounds that the rules name.
+/// Time limits used by the checks.
 struct CheckerBounds {
-  std::int64_t drainMs = 3000;          ///< A leaving back end may get new sessions this long.
-  std::int64_t configurationMs = 9000;  ///< A version must be in force everywhere within this.
+  std::int64_t drainMs = 3000;          ///< Until a draining backend gets no new sessions.
+  std::int64_t configurationMs = 9000;  ///< Until all daemons activate a new version.
 };
 
-/// One rule that was broken, with the evidence.
+/// A violated invariant with a description of the evidence.
 struct Violation {
   std::string rule;
   std::string evidence;
 };
 
-/// Counts of one history, or of several added up.
+/// Counters of one history or the sum of several.
 struct HistoryCounts {
   std::size_t sessions = 0;
   std::size_t requests = 0;
@@ -42,25 +41,24 @@
   std::size_t configurationViolations = 0;
   std::int64_t maxConfigurationDelayMs = 0;
 
-  /// Adds another history's counts; of the slowest times the larger one stays.
+  /// Adds the counters of another history; maxConfigurationDelayMs becomes the larger of the two.
   void add(const HistoryCounts& other);
   double brokenPerMillion() const;
 };
 
-/// Figures and violations of one history.
+/// Statistics and violations of one history.
 struct CheckerReport : HistoryCounts {
-  /// Largest number of sessions opened on one back end over the mean, by service. Back ends that
-  /// left during the run are not counted.
+  /// Maximum over mean number of sessions per backend, by service. Drained backends are excluded.
   std::map<std::string, double> imbalance;
   std::vector<Violation> violations;
 
   bool ok() const { return violations.empty(); }
 };
 
-/// @param events in any order; they are sorted by time.
+/// @param events events in any order; sorted by time before the check.
 CheckerReport checkHistory(std::vector<Event> events, const CheckerBounds& bounds);
 
-/// @return the report as a table for people, violations last.
+/// @return the report as a plain-text table followed by the first violations.
 std::string formatReport(const CheckerReport& report);
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/main.cc
+++ b/src/sim/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Entry point of cobaltgauge-sim: run, sweep, check.
+/// Entry point of cobaltgauge-sim.
 #include <iostream>
 #include <string>
 #include <thread>
@@ -21,10 +21,10 @@
 constexpr int kUsageError = 2;
 constexpr const char* kUsage =
     "usage: cobaltgauge-sim COMMAND\n"
-    "  run SCENARIO       one run; prints what the history checker finds\n"
-    "  sweep SCENARIO     many seeds and designs side by side; prints JSON or a table\n"
-    "  check HISTORY...   checks recorded histories\n"
-    "Each command explains its flags with --help.\n";
+    "  run SCENARIO       simulates one run and prints the history check\n"
+    "  sweep SCENARIO     compares designs over many seeds; prints JSON or a table\n"
+    "  check HISTORY...   checks recorded history files\n"
+    "Run COMMAND --help for its options.\n";
 
 int fail(const std::string& reason) {
   std::cerr << "cobaltgauge-sim: " << reason << "\n";
@@ -33,7 +33,7 @@
 
 std::optional<Scenario> loadOnly(const CommandOptions& options) {
   if (options.arguments().size() != 1) {
-    fail("exactly one scenario file is expected");
+    fail("expected exactly one scenario file");
     return std::nullopt;
   }
   ScenarioLoader loader;
@@ -47,11 +47,11 @@
 int runCommand(int argc, const char* const* argv) {
   const auto options = CommandOptions::parse(
       "cobaltgauge-sim run",
-      {{"seed", "seed instead of the scenario's", kNone},
-       {"variant", "design instead of the scenario's", kNone},
-       {"random-faults", "yes: faults from the seed instead of the scenario's", "no"},
-       {"history", "file to write the history to", kNone},
-       {"trace", "session whose routing is explained on standard error", kNone}},
+      {{"seed", "overrides the scenario's seed", kNone},
+       {"variant", "overrides the scenario's design", kNone},
+       {"random-faults", "yes: generate faults from the seed, ignoring the scenario's", "no"},
+       {"history", "history output file", kNone},
+       {"trace", "session whose routing decisions are traced to standard error", kNone}},
       argc, argv);
   auto scenario = options ? loadOnly(*options) : std::nullopt;
   if (!scenario) {
@@ -80,7 +80,7 @@
   if (options->has("history")) {
     HistoryWriter writer;
     if (!writer.open(options->text("history"))) {
-      return fail(options->text("history") + ": cannot be written");
+      return fail(options->text("history") + ": cannot open file for writing");
     }
     for (const Event& event : result.history) {
       writer.write(event);
@@ -91,7 +91,7 @@
     std::cout << "packets " << reason << ": " << count << "\n";
   }
   for (const auto& [kind, bytes] : result.controlBytesByKind) {
-    std::cout << "control " << kind << " B/s and daemon: " << bytes << "\n";
+    std::cout << "control " << kind << " B/s per daemon: " << bytes << "\n";
   }
   return result.report.ok() ? 0 : 1;
 }
@@ -102,9 +102,9 @@
       "cobaltgauge-sim sweep",
       {{"first-seed", "first seed", "1"},
        {"last-seed", "last seed", "20"},
-       {"variant", "one design, or all", "all"},
-       {"random-faults", "yes: faults from each seed instead of the scenario's", "no"},
-       {"threads", "runs at the same time", threads.c_str()},
+       {"variant", "design to run, or all", "all"},
+       {"random-faults", "yes: generate faults from each seed, ignoring the scenario's", "no"},
+       {"threads", "number of parallel runs", threads.c_str()},
        {"format", "json or table", "table"}},
       argc, argv);
   const auto scenario = options ? loadOnly(*options) : std::nullopt;
@@ -128,7 +128,7 @@
   std::cout << (json ? summariesToJson(*scenario, summaries) : formatSummaries(summaries));
   for (const VariantSummary& summary : summaries) {
     if (!json && summary.variant == Variant::kCobaltgauge && !summary.failingSeeds.empty()) {
-      std::cout << "seeds of cobaltgauge with violations:";
+      std::cout << "cobaltgauge seeds with violations:";
       for (const std::uint64_t seed : summary.failingSeeds) {
         std::cout << " " << seed;
       }
@@ -141,7 +141,7 @@
 int checkCommand(int argc, const char* const* argv) {
   const auto options = CommandOptions::parse("cobaltgauge-sim check", {}, argc, argv);
   if (!options || options->arguments().empty()) {
-    return options ? fail("at least one history file is expected") : kUsageError;
+    return options ? fail("expected at least one history file") : kUsageError;
   }
   HistoryReader reader;
   std::vector<Event> events;
--- a/src/sim/packet_router.cc
+++ b/src/sim/packet_router.cc
@@ -8,7 +8,7 @@
 
 using core::Time;
 
-/// Cobaltgauge behind the router interface.
+/// Routes packets with the core of Cobaltgauge.
 class CobaltgaugeRouter : public PacketRouter {
  public:
   CobaltgaugeRouter(const core::BalancerOptions& options, core::ConfigurationCompiler& compiler,
@@ -50,7 +50,7 @@
   core::Balancer balancer_;
 };
 
-/// The designs without coordination: each daemon reads the platform and decides alone.
+/// Baselines without coordination between daemons.
 class BaselineRouter : public PacketRouter {
  public:
   BaselineRouter(Variant variant, const core::BalancerOptions& options,
--- a/src/sim/packet_router.h
+++ b/src/sim/packet_router.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the simulator drives: the product's core, or a simpler design to compare it with.
+/// Packet routing interface of the simulator, implemented by the core and by simpler baselines.
 #pragma once
 
 #include <memory>
@@ -10,12 +10,12 @@
 
 namespace cobaltgauge::sim {
 
-/// Designs that can be simulated side by side.
+/// Designs that the simulator can compare.
 enum class Variant : std::uint8_t {
-  kModulo,       ///< Hash modulo the list of active back ends.
-  kTable,        ///< Maglev table without state.
-  kCachedTable,  ///< Maglev table and a local flow cache.
-  kCobaltgauge,  ///< The product.
+  kModulo,       ///< Hash modulo the number of active backends.
+  kTable,        ///< Maglev table without flow state.
+  kCachedTable,  ///< Maglev table with a local flow cache.
+  kCobaltgauge,  ///< The core of Cobaltgauge.
 };
 
 const char* toString(Variant variant);
@@ -38,16 +38,15 @@
   virtual void beginLeaving(core::Time now) = 0;
   virtual bool handoverDone() const = 0;
   virtual void finishLeaving(core::Time now) = 0;
-  /// @return bytes of per-flow state held, for side-by-side figures.
+  /// @return the size of the per-flow state in bytes.
   virtual std::size_t flowStateBytes(core::Time now) const = 0;
 };
 
-/// Builds a router of the wanted design.
 std::unique_ptr<PacketRouter> makeRouter(Variant variant, const core::BalancerOptions& options,
                                          core::ConfigurationCompiler& compiler,
                                          core::Random& random);
 
-/// @return the product's core inside a router, null for a baseline.
+/// @return the balancer of a kCobaltgauge router, null for baselines.
 const core::Balancer* balancerOf(const PacketRouter& router);
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/scenario.cc
+++ b/src/sim/scenario.cc
@@ -19,7 +19,7 @@
   return service;
 }
 
-/// Five daemons in three zones of one region; 15 back ends of the first service, 4 of the second.
+/// Five daemons in three zones of one region; 15 backends for the first service, 4 for the second.
 Scenario makeDeployment(const char* name, const char* region, const std::string& zonePrefix,
                         std::array<const char*, 2> services, core::Duration clientDelay) {
   Scenario scenario;
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -1,5 +1,5 @@
 /// @file
-/// Description of one simulated run: fleet, workload, network, faults, design and seed.
+/// Parameters of a simulated run: daemons, workload, network, faults, design and seed.
 #pragma once
 
 #include <optional>
@@ -17,7 +17,7 @@
   std::size_t daemons = 2;
 };
 
-/// One service with its back ends and the sessions that use it.
+/// A service with its backends and client sessions.
 struct ServiceSpec {
   std::string name;
   core::Protocol protocol = core::Protocol::kUdp;
@@ -28,16 +28,16 @@
   core::Duration serviceTime = std::chrono::milliseconds(2);
   core::Duration warmUpTime = std::chrono::seconds(2);  ///< Executions take four times as long.
   core::Duration requestInterval = std::chrono::milliseconds(1000);  ///< Mean, per session.
-  core::Duration sessionLifetime{0};  ///< Mean; zero: sessions stay open for the whole run.
-  std::size_t fetchPercent = 20;      ///< Share of requests that fetch a large answer.
-  std::string policy;                 ///< Lua; empty means "equal weights".
+  core::Duration sessionLifetime{0};  ///< Mean; zero means until the end of the run.
+  std::size_t fetchPercent = 20;      ///< Share of requests that fetch a large response.
+  std::string policy;                 ///< Lua source; empty means equal weights.
 };
 
 struct NetworkSpec {
   core::Duration sameZone = std::chrono::microseconds(200);
   core::Duration crossZone = std::chrono::microseconds(1500);
   core::Duration crossRegion = std::chrono::milliseconds(30);
-  core::Duration client = std::chrono::milliseconds(1);  ///< Between clients and the fabric.
+  core::Duration client = std::chrono::milliseconds(1);  ///< Clients to fabric, one way.
   core::Duration jitter = std::chrono::microseconds(500);
   std::uint64_t lossPermille = 1;
   std::uint64_t duplicatePermille = 1;
@@ -45,24 +45,24 @@
 
 enum class FaultKind : std::uint8_t {
   kKillDaemon,     ///< target: daemon
-  kStopDaemon,     ///< planned stop; target: daemon
+  kStopDaemon,     ///< graceful shutdown; target: daemon
   kJoinDaemon,     ///< target: zone
   kSuspendDaemon,  ///< target: daemon
   kResumeDaemon,   ///< target: daemon
-  kPartitionZone,  ///< target: zone; nothing crosses its border
+  kPartitionZone,  ///< target: zone; drops all its traffic to and from other zones
   kRecoverZone,    ///< target: zone
-  kDrainBackend,   ///< target: back end
-  kRemoveBackend,  ///< target: back end; only after it was drained
+  kDrainBackend,   ///< target: backend
+  kRemoveBackend,  ///< target: drained backend
   kAddBackend,     ///< target: service
-  kReuseAddress,   ///< target: back end, drained; its address goes to the next service
+  kReuseAddress,   ///< target: drained backend; another service reuses its address
   kReplacePolicy,  ///< target: service
   kPlatformDown,
   kPlatformUp,
-  kPlatformStale,  ///< Serves the first version again.
-  kPlatformRace,   ///< Two contents under the next version, each to half of the readers.
+  kPlatformStale,  ///< Serves the first published version.
+  kPlatformRace,   ///< Publishes two contents of one version, each read by half of the daemons.
 };
 
-/// @return the name used in scenario files, for instance "kill_daemon".
+/// @return the name used in scenario files, e.g. "kill_daemon".
 const char* toString(FaultKind kind);
 std::optional<FaultKind> faultKindFromName(const std::string& name);
 
@@ -83,17 +83,17 @@
   std::vector<FaultSpec> faults;
   core::Duration platformLag{0};
   core::Duration platformPoll = std::chrono::milliseconds(500);
-  core::Duration fabricLag = std::chrono::milliseconds(500);  ///< Until it notices a dead daemon.
-  core::Duration measurementStart{0};  ///< Control traffic and processor time count from here.
-  std::size_t flowTableEntries = 1U << 16U;  ///< Of each daemon.
-  std::string traceSession;  ///< Every decision about this session's packets is explained.
-  core::Duration shutdownDelay = std::chrono::milliseconds(1500);  ///< Of a planned stop.
+  core::Duration fabricLag = std::chrono::milliseconds(500);  ///< Until it detects a failed daemon.
+  core::Duration measurementStart{0};  ///< Start of the control traffic and CPU time measurement.
+  std::size_t flowTableEntries = 1U << 16U;  ///< Per daemon.
+  std::string traceSession;                  ///< Session whose routing decisions are traced.
+  core::Duration shutdownDelay = std::chrono::milliseconds(1500);  ///< Minimum for a stop.
 };
 
-/// Cascadia Quote Desk: three halls in one region, rate-watch and packets.
+/// Three zones in one region with 1 ms between clients and the fabric.
 Scenario cascadiaScenario();
 
-/// Põhjatiib: three Tallinn sites, desk and manifests.
+/// Three zones in one region with 3 ms between clients and the fabric.
 Scenario pohjatiibScenario();
 
 }  // namespace cobaltgauge::sim
--- a/src/sim/scenario_loader.cc
+++ b/src/sim/scenario_loader.cc
@@ -12,7 +12,7 @@
 constexpr std::int64_t kMaxCount = 1'000'000;
 constexpr std::int64_t kMaxMilliseconds = 86'400'000;
 
-/// Checked access to one TOML table; keeps the first error.
+/// Reads fields of a TOML table and records the first error. The destructor reports unknown fields.
 class TableReader {
  public:
   TableReader(const toml::table& table, std::string path, std::string& error)
@@ -32,7 +32,7 @@
     if (const toml::node* node = find(key)) {
       const auto found = node->value_exact<std::string>();
       if (!found) {
-        fail(*node, key, "must be a text");
+        fail(*node, key, "must be a string");
       }
       value = found.value_or(value);
     }
@@ -43,7 +43,6 @@
     value = static_cast<T>(number(key, static_cast<std::int64_t>(value), kMaxCount));
   }
 
-  /// Reads whole milliseconds.
   void milliseconds(const char* key, core::Duration& value) {
     using std::chrono::milliseconds;
     const auto current = std::chrono::duration_cast<milliseconds>(value).count();
@@ -52,12 +51,11 @@
     }
   }
 
-  /// Reads whole microseconds.
   void microseconds(const char* key, core::Duration& value) {
     value = core::Duration(number(key, value.count(), kMaxMilliseconds));
   }
 
-  /// @return the tables of an array of tables; empty where there is none.
+  /// @return the elements of an array of tables; empty if the field is missing.
   std::vector<const toml::table*> tables(const char* key) {
     std::vector<const toml::table*> result;
     const toml::node* node = find(key);
@@ -70,7 +68,7 @@
         if (const toml::table* table = item.as_table()) {
           result.push_back(table);
         } else {
-          fail(item, key, "must hold tables");
+          fail(item, key, "must contain only tables");
         }
       }
     }
@@ -92,7 +90,6 @@
     }
   }
 
-  /// Reports an error about a field's value.
   void reject(const char* key, const std::string& problem) { fail(table_, key, problem); }
 
  private:
@@ -252,7 +249,7 @@
 std::optional<Scenario> ScenarioLoader::loadFile(const std::string& path) {
   std::ifstream in(path);
   if (!in) {
-    lastReason_ = path + ": cannot be opened";
+    lastReason_ = path + ": cannot open file";
     return std::nullopt;
   }
   std::ostringstream text;
--- a/src/sim/scenario_loader.h
+++ b/src/sim/scenario_loader.h
@@ -9,7 +9,8 @@
 
 namespace cobaltgauge::sim {
 
-/// Reads scenarios; keeps the reason of a failure: file, line, field, value and what is allowed.
+/// Loads and validates scenarios. lastReason() describes the last failure with file, line and
+/// field.
 class ScenarioLoader {
  public:
   std::optional<Scenario> loadFile(const std::string& path);
@@ -20,10 +21,9 @@
   std::string lastReason_;
 };
 
-/// @return the variant of this name, for instance "cached_table".
+/// @return the variant with this name, e.g. "cached_table".
 std::optional<Variant> variantFromName(const std::string& name);
 
-/// Every variant, baselines first.
 inline constexpr std::array<Variant, 4> kAllVariants{Variant::kModulo, Variant::kTable,
                                                      Variant::kCachedTable, Variant::kCobaltgauge};
 
--- a/src/sim/simulated_backend.h
+++ b/src/sim/simulated_backend.h
@@ -1,5 +1,6 @@
 /// @file
-/// A back end of the model: bounded connections, few slots, slow start, shedding; drops repeats.
+/// Simulated backend with a session limit, execution slots, slow start, load shedding and duplicate
+/// detection.
 #pragma once
 
 #include <deque>
@@ -26,14 +27,14 @@
                    std::string zone, core::BackendAddress address, SendResponse sendResponse,
                    Record record);
 
-  /// Handles a packet that a daemon sent here by `destination`.
+  /// Handles a packet that a daemon addressed to `destination`.
   void onPacket(const core::BackendAddress& destination, const WorkRequest& request);
 
   const std::string& name() const { return name_; }
   const std::string& zone() const { return zone_; }
   const core::BackendAddress& address() const { return address_; }
   std::size_t sessions() const { return sessions_.size(); }
-  /// @return the time that each executed request waited for a slot.
+  /// @return the queueing delay of each started request.
   const std::vector<core::Duration>& queueDelays() const { return queueDelays_; }
 
  private:
@@ -41,7 +42,7 @@
     WorkRequest request;
     core::Time queuedAt{};
   };
-  /// What was answered to a message; a repeat gets the same response.
+  /// Response that is repeated when a message is retransmitted.
   struct CachedResponse {
     bool finished = false;
     WorkResponse response;
--- a/src/sim/simulated_client.cc
+++ b/src/sim/simulated_client.cc
@@ -8,7 +8,7 @@
 
 using std::chrono::milliseconds;
 
-/// Retransmission as in RFC 7252, section 4.2.
+/// Retransmission with exponential backoff (RFC 7252, section 4.2).
 constexpr core::Duration kFirstTimeout = milliseconds(400);
 constexpr core::Duration kMaxTimeout = milliseconds(3000);
 constexpr int kMaxTransmissions = 8;
@@ -42,7 +42,7 @@
   session_ = "s" + std::to_string(index_) + "." + std::to_string(++sessionCount_);
   opened_ = false;
   requests_ = 0;
-  // Every session of a client is a flow of its own.
+  // Each session uses a new flow.
   ++flow_.source.port;
 }
 
@@ -112,7 +112,7 @@
 
 void SimulatedClient::onResponse(const WorkResponse& response) {
   if (!waiting_ || response.messageId != pending_.messageId) {
-    return;  // A late or repeated response of an earlier exchange.
+    return;  // Late or duplicate response of an earlier exchange.
   }
   if (response.result == WorkResult::kNoSession) {
     record(EventKind::kSessionBroken);
--- a/src/sim/simulated_client.h
+++ b/src/sim/simulated_client.h
@@ -1,6 +1,6 @@
 /// @file
-/// One client of the model. It holds one standing session at a time: opens, submits requests that
-/// may not be repeated, fetches large answers, retransmits, and records what it was told.
+/// Simulated client with one long-lived session at a time. It submits non-idempotent requests,
+/// fetches large responses, retransmits, and records the reported outcomes.
 #pragma once
 
 #include <functional>
@@ -24,7 +24,7 @@
                   Record record);
 
   void start(core::Duration delay);
-  /// No new request is begun after this time.
+  /// Starts no new request at or after this time.
   void stopAt(core::Time time) { stopAt_ = time; }
   void onResponse(const WorkResponse& response);
 
--- a/src/sim/simulated_daemon.cc
+++ b/src/sim/simulated_daemon.cc
@@ -7,7 +7,7 @@
 namespace cobaltgauge::sim {
 namespace {
 
-/// Datagrams that a socket buffer holds for a suspended process.
+/// Capacity of the socket buffer of a suspended process.
 constexpr std::size_t kSocketBufferDatagrams = 4096;
 constexpr std::uint64_t kHashSeed = 0x9e3779b97f4a7c15;
 
--- a/src/sim/simulated_daemon.h
+++ b/src/sim/simulated_daemon.h
@@ -1,5 +1,5 @@
 /// @file
-/// One daemon process of the model: may run, be suspended or be dead.
+/// Simulated daemon process, which is running, suspended or terminated.
 #pragma once
 
 #include <deque>
@@ -15,7 +15,7 @@
 
 namespace cobaltgauge::sim {
 
-/// What happened to a daemon's control traffic.
+/// Counters of the control traffic sent by a daemon.
 struct ControlTraffic {
   std::uint64_t messages = 0;
   std::uint64_t bytes = 0;  ///< Encoded frames, without UDP/IP headers.
@@ -28,11 +28,12 @@
                   std::uint64_t seed, const Scenario& scenario,
                   core::ConfigurationCompiler& compiler);
 
-  /// Hands work to the process: done now, kept while it is suspended, lost when it is dead.
+  /// Executes work immediately, queues it while the process is suspended, or drops it if
+  /// terminated.
   void deliver(std::function<void()> work);
 
   void suspend() { suspended_ = true; }
-  /// Runs everything that waited, in order, before any tick: a late resume acts on its old view.
+  /// Executes queued work in order before the next tick, hence on outdated state.
   void resume();
   void kill() { alive_ = false; }
 
@@ -44,11 +45,11 @@
   const std::string& name() const { return identity_.name; }
   const std::string& zone() const { return identity_.zone; }
 
-  /// The fabric sends packets here until this time.
+  /// The fabric routes packets to this daemon until this time.
   core::Time receivesUntil{core::Duration::max()};
   core::Time startedAt{};
   core::Time endedAt{core::Duration::max()};
-  core::Time stopRequestedAt{};  ///< Zero while no planned stop was asked for.
+  core::Time stopRequestedAt{};  ///< Zero if no graceful shutdown was requested.
   core::Time nextPlatformRead{};
   core::ConfigurationVersion reportedVersion = 0;
   ControlTraffic traffic;
--- a/src/sim/simulated_platform.h
+++ b/src/sim/simulated_platform.h
@@ -1,6 +1,6 @@
 /// @file
-/// The platform of the model: keeps the operators' services, publishes versions, and serves them
-/// late, stale, contradictory or not at all.
+/// Simulated platform that publishes configuration versions. Reads can be delayed, stale,
+/// conflicting or unavailable.
 #pragma once
 
 #include <map>
@@ -14,7 +14,7 @@
 
 namespace cobaltgauge::sim {
 
-/// One back end as the operator lists it.
+/// Backend entry of the configuration.
 struct ListedBackend {
   std::string name;
   std::string zone;
@@ -23,7 +23,7 @@
   bool draining = false;
 };
 
-/// One service as the operator lists it.
+/// Service entry of the configuration.
 struct ListedService {
   ServiceSpec spec;
   core::Endpoint virtualEndpoint;
@@ -37,19 +37,19 @@
 
   std::vector<ListedService>& services() { return services_; }
   ListedService* findService(const std::string& name);
-  /// @return the listed back end and its service, null pointers where there is none.
+  /// @return the service and its backend with this name, null pointers if there is none.
   std::pair<ListedService*, ListedBackend*> findBackend(const std::string& name);
 
-  /// Publishes the present services as the next version. @return the version.
+  /// Publishes the current services as the next version. @return the version.
   core::ConfigurationVersion publish(core::Time now);
-  /// Publishes the present services as a second content of the latest version.
+  /// Publishes the current services as conflicting content of the latest version.
   void publishConflicting(core::Time now);
 
   void setDown(bool down) { down_ = down; }
   void setStale(bool stale) { stale_ = stale; }
 
-  /// @param reader readers with odd numbers see the conflicting content where there is one.
-  /// @return what a reader gets now, nothing while the platform is down.
+  /// @param reader odd readers get the conflicting content if there is any.
+  /// @return the document visible to the reader; nothing while the platform is down.
   std::optional<core::ConfigurationDocument> read(core::Time now, std::size_t reader) const;
 
  private:
--- a/src/sim/simulation.cc
+++ b/src/sim/simulation.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Set-up and summary of the simulated world.
+/// Setup and result summary of the simulation.
 #include "sim/simulation.h"
 
 #include <algorithm>
@@ -17,10 +17,10 @@
 constexpr std::uint16_t kClientPort = 20000;
 constexpr core::Duration kFleetStartupTime = std::chrono::seconds(6);
 constexpr core::Duration kOpenWindow = std::chrono::seconds(3);
-/// Requests under way at the end get this long to finish.
+/// Time for in-flight requests to complete after the end of the scenario.
 constexpr core::Duration kCompletionTime = std::chrono::seconds(20);
 
-/// @return 10.`network`.x.y with the number in the last two parts.
+/// @return 10.`network`.x.y, where x.y is the 16-bit number.
 core::IpAddress makeAddress(std::uint8_t network, std::uint32_t number) {
   core::IpAddress address;
   address.bytes = {10, network, static_cast<std::uint8_t>(number >> 8U),
--- a/src/sim/simulation.h
+++ b/src/sim/simulation.h
@@ -1,6 +1,6 @@
 /// @file
-/// The simulated world: network, fabric, platform, daemons, back ends and clients in virtual time.
-/// Runs the daemons' own core and records a history for the checker.
+/// Simulation of network, fabric, platform, daemons, backends and clients in virtual time. Runs the
+/// core of the daemon and records a history for the history checker.
 #pragma once
 
 #include <map>
@@ -22,20 +22,20 @@
 
 namespace cobaltgauge::sim {
 
-/// Figures of one run.
+/// Statistics of one run.
 struct RunResult {
   CheckerReport report;
   std::vector<Event> history;
-  /// Sessions per back end at the end, largest over mean, by service; leaving ones not counted.
+  /// Maximum over mean sessions per backend at the end, by service. Draining backends are excluded.
   std::map<std::string, double> finalImbalance;
   double queueDelayP99Ms = 0;
   double controlBytesPerSecond = 0;                  ///< Sent, mean per daemon.
   double controlMessagesPerSecond = 0;               ///< Sent, mean per daemon.
   std::map<std::string, double> controlBytesByKind;  ///< Sent, per second, mean per daemon.
-  double cpuUsage = 0;  ///< Processor seconds per second and daemon, the simulator's included.
+  double cpuUsage = 0;        ///< CPU seconds per second and daemon, including the simulator's own.
   double flowStateBytes = 0;  ///< Mean per daemon at the end.
   std::map<std::string, std::uint64_t> drops;
-  std::vector<std::string> trace;  ///< One line per decision about the traced session.
+  std::vector<std::string> trace;  ///< One line per routing decision of the traced session.
   std::uint64_t events = 0;
   std::uint64_t packetsToPeers = 0;
   std::uint64_t packetsToBackends = 0;
@@ -45,13 +45,13 @@
  public:
   explicit Simulation(const Scenario& scenario);
 
-  /// Runs the scenario to its end and checks its history.
+  /// Runs the scenario and checks its history.
   RunResult run();
 
  private:
   using DaemonPtr = std::shared_ptr<SimulatedDaemon>;
 
-  // Set-up (simulation.cc).
+  // Setup (simulation.cc).
   void buildServices();
   void buildClients();
   DaemonPtr startDaemon(const std::string& zone);
@@ -71,13 +71,13 @@
   bool isPartitioned(const std::string& a, const std::string& b) const;
   core::Duration delayBetween(const std::string& a, const std::string& b) const;
 
-  // Explanations (simulation_trace.cc).
+  // Tracing (simulation_trace.cc).
   void trace(const SimulatedDaemon& daemon, const core::Verdict& verdict,
              const WorkRequest& request);
   std::string describe(const core::Verdict& verdict) const;
   std::string backendName(const core::Balancer& balancer, core::BackendId id) const;
 
-  // Faults and operators (simulation_faults.cc).
+  // Faults and operator actions (simulation_faults.cc).
   void applyFault(const FaultSpec& fault);
   void applyDaemonFault(const FaultSpec& fault);
   void applyOperatorAction(const FaultSpec& fault);
--- a/src/sim/simulation_faults.cc
+++ b/src/sim/simulation_faults.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Faults and operators' actions of the simulated world.
+/// Faults and operator actions of the simulation.
 #include <algorithm>
 
 #include "sim/simulation.h"
@@ -99,7 +99,7 @@
       break;
     case FaultKind::kReplacePolicy:
       if (ListedService* service = platform_.findService(fault.target)) {
-        // Alternates between favouring one zone and the policy of the scenario.
+        // Alternates between a policy that favors the first zone and the scenario's policy.
         service->policy =
             service->policy != service->spec.policy
                 ? service->spec.policy
@@ -129,7 +129,7 @@
   const auto active = std::count_if(service->backends.begin(), service->backends.end(),
                                     [](const ListedBackend& item) { return !item.draining; });
   if (active < 2) {
-    return;  // An operator does not drain the last back end.
+    return;  // Keep at least one active backend.
   }
   backend->draining = true;
   record(EventKind::kBackendDraining, name, "");
@@ -157,7 +157,7 @@
 void Simulation::removeBackend(const std::string& name) {
   const auto [service, backend] = platform_.findBackend(name);
   if (backend == nullptr || !backend->draining) {
-    return;  // Only a back end that was drained is removed.
+    return;  // Only drained backends may be removed.
   }
   std::erase_if(service->backends,
                 [&name](const ListedBackend& item) { return item.name == name; });
@@ -171,7 +171,7 @@
   }
   const SimulatedBackend* old = backendsByEndpoint_.at(backend->endpoint);
   if (old->sessions() > 0) {
-    return;  // An operator waits until a machine is empty before it is given away.
+    return;  // An address may be reused only after all its sessions are closed.
   }
   ListedBackend moved = *backend;
   moved.name = name + "-reused";
--- a/src/sim/simulation_trace.cc
+++ b/src/sim/simulation_trace.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Explains every decision about one session, for the search of causes.
+/// Traces the routing decisions of one session for debugging.
 #include <sstream>
 
 #include "sim/simulation.h"
--- a/src/sim/simulation_traffic.cc
+++ b/src/sim/simulation_traffic.cc
@@ -1,12 +1,12 @@
 /// @file
-/// Packets and messages of the simulated world.
+/// Packet and control message delivery of the simulation.
 #include "core/constants.h"
 #include "sim/simulation.h"
 
 namespace cobaltgauge::sim {
 namespace {
 
-/// The platform's machine list still names a dead machine for this long.
+/// Time until the platform removes a failed machine from its machine list.
 constexpr core::Duration kMachineListLag = std::chrono::seconds(5);
 
 }  // namespace
@@ -137,7 +137,7 @@
 }
 
 void Simulation::readPlatform(const DaemonPtr& daemon) {
-  // The platform stands in the first zone.
+  // The platform runs in the first zone.
   const bool reachable = !isPartitioned(daemon->zone(), scenario_.zones.front().name);
   const core::Time now = queue_.now();
   if (!reachable || now < daemon->nextPlatformRead) {
--- a/src/sim/sweep.cc
+++ b/src/sim/sweep.cc
@@ -13,13 +13,12 @@
 namespace cobaltgauge::sim {
 namespace {
 
-/// One run of a sweep.
 struct Job {
   std::size_t variant = 0;
   std::uint64_t seed = 0;
 };
 
-/// What a sweep keeps of a run; the history is dropped at once.
+/// Runs one job. Discards the history to limit memory use.
 RunResult runOne(const Scenario& scenario, const SweepOptions& options, const Job& job) {
   Scenario copy = scenario;
   copy.seed = job.seed;
--- a/src/sim/sweep.h
+++ b/src/sim/sweep.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs a scenario over many seeds and designs, and sums the figures up.
+/// Runs a scenario with many seeds and designs and aggregates the results.
 #pragma once
 
 #include <string>
@@ -10,13 +10,13 @@
 
 namespace cobaltgauge::sim {
 
-/// Sums and means over the runs of one variant.
+/// Sums and means of the runs of one variant.
 struct VariantSummary {
   Variant variant = Variant::kCobaltgauge;
   std::size_t runs = 0;
   std::size_t runsWithViolations = 0;
   HistoryCounts totals;
-  double imbalance = 0;        ///< Mean over runs of the largest service's final max/mean.
+  double imbalance = 0;        ///< Mean over runs of the largest final max/mean of any service.
   double queueDelayP99Ms = 0;  ///< Mean over runs.
   double controlBytesPerSecond = 0;
   double flowStateBytes = 0;
@@ -29,14 +29,14 @@
   std::uint64_t firstSeed = 1;
   std::uint64_t lastSeed = 1;
   std::vector<Variant> variants;
-  bool randomFaults = false;  ///< Replace the scenario's faults by a schedule from each seed.
+  bool randomFaults = false;  ///< Generates faults from each seed instead of using the scenario's.
   std::size_t threads = 1;
 };
 
-/// Runs all combinations; the result does not depend on the number of threads.
+/// Runs all combinations of seeds and variants. The result is independent of the thread count.
 std::vector<VariantSummary> sweep(const Scenario& scenario, const SweepOptions& options);
 
-/// @return the summaries as JSON; the same runs give the same bytes.
+/// @return the summaries as JSON; deterministic for the same runs.
 std::string summariesToJson(const Scenario& scenario, const std::vector<VariantSummary>& summaries);
 
 /// @return the summaries as a Markdown table.
--- a/src/sim/work_messages.h
+++ b/src/sim/work_messages.h
@@ -1,5 +1,5 @@
 /// @file
-/// What simulated clients and back ends say to each other, inside packets of one flow.
+/// Application messages between simulated clients and backends.
 #pragma once
 
 #include <cstdint>
@@ -11,25 +11,25 @@
 
 enum class WorkKind : std::uint8_t { kOpen, kSubmit, kFetch, kClose };
 
-/// A client's packet.
+/// Packet sent by a client.
 struct WorkRequest {
   core::PacketSummary packet;
-  std::size_t client = 0;       ///< Index of the session.
-  std::string session;          ///< Name of the session in the history.
-  std::uint32_t messageId = 0;  ///< Same in every transmission of one message.
+  std::size_t client = 0;       ///< Index of the client.
+  std::string session;          ///< Session name in the history.
+  std::uint32_t messageId = 0;  ///< Unchanged in retransmissions.
   WorkKind kind = WorkKind::kOpen;
-  std::string request;  ///< Identity of the submission or of the large response.
+  std::string request;  ///< Request ID.
   std::uint32_t block = 0;
 };
 
 enum class WorkResult : std::uint8_t {
   kDone,
-  kNotRun,          ///< Refused; certainly not executed.
-  kOutcomeUnknown,  ///< Refused; may have been executed.
-  kNoSession,       ///< The back end does not hold the session.
+  kNotRun,          ///< Refused; not executed.
+  kOutcomeUnknown,  ///< Refused; possibly executed.
+  kNoSession,       ///< The session is unknown to the backend.
 };
 
-/// A back end's or a daemon's response.
+/// Response of a backend or daemon.
 struct WorkResponse {
   std::uint32_t messageId = 0;
   WorkResult result = WorkResult::kDone;
@@ -37,7 +37,7 @@
   std::uint32_t block = 0;
 };
 
-/// Blocks of a large response.
+/// Number of blocks of a large response.
 inline constexpr std::uint32_t kResponseBlocks = 4;
 
 }  // namespace cobaltgauge::sim
