--- a/src/standin/backend.cc
+++ b/src/standin/backend.cc
@@ -17,19 +17,19 @@
 
 const std::vector<ctl::OptionSpec>& backendOptions() {
   static const std::vector<ctl::OptionSpec> kOptions{
-      {"name", "name in the history", ""},
-      {"service", "service it belongs to", ""},
-      {"listen", "where Geneve packets arrive", ""},
-      {"fabric", "where answers go", ""},
-      {"history", "file to append events to", ""},
-      {"incarnation", "incarnation in the configuration", "0"},
-      {"vni", "Geneve virtual network", "1"},
-      {"slots", "requests executed at once", "2"},
-      {"max-sessions", "connections held at most", "2000"},
-      {"max-queue", "submissions waiting at most", "200"},
-      {"service-ms", "time of one execution", "2"},
-      {"cold-ms", "time after start in which execution is slow", "500"},
-      {"push-ms", "time between two pushes to a session", "1000"}};
+      {"name", "backend name in the history", ""},
+      {"service", "service name", ""},
+      {"listen", "Geneve endpoint to listen on", ""},
+      {"fabric", "fabric endpoint that responses are sent to", ""},
+      {"history", "history output file", ""},
+      {"incarnation", "expected incarnation", "0"},
+      {"vni", "Geneve virtual network identifier", "1"},
+      {"slots", "number of concurrent executions", "2"},
+      {"max-sessions", "maximum number of sessions", "2000"},
+      {"max-queue", "maximum number of queued submissions", "200"},
+      {"service-ms", "execution time", "2"},
+      {"cold-ms", "slow-start period after start", "500"},
+      {"push-ms", "notification interval of a session", "1000"}};
   return kOptions;
 }
 
@@ -81,7 +81,7 @@
   }
   const std::optional<net::CoapMessage> message = net::decodeCoap(packet.payload);
   if (!message || !message->isRequest()) {
-    return;  // Acknowledgements of pushes need no work.
+    return;  // Only requests are handled.
   }
   const auto key = std::make_pair(packet.flow, message->messageId);
   const auto cached = responses_.find(key);
--- a/src/standin/backend.h
+++ b/src/standin/backend.h
@@ -1,6 +1,6 @@
 /// @file
-/// Stand-in for a back end of the users' services: two slots, a bounded number of connections,
-/// slow start, drain, shedding, cancellation, deadlines; repeats are recorded, not hidden.
+/// Backend stand-in for end-to-end tests with execution slots, a session limit, slow start,
+/// draining, load shedding, cancellation and deadlines. Duplicate requests are recorded.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -22,13 +22,13 @@
   Backend(asio::io_context& context, const ctl::CommandOptions& options);
 
  private:
-  /// One standing session, identified by its flow.
+  /// Long-lived session, identified by its flow.
   struct Session {
     std::string name;
-    net::Bytes observeToken;  ///< Empty while the client does not observe.
+    net::Bytes observeToken;  ///< Empty if the client does not observe.
     std::uint32_t pushes = 0;
   };
-  /// A submission that waits for a slot or runs in one.
+  /// Queued or running submission.
   struct Job {
     core::FlowKey flow;
     net::CoapMessage request;
@@ -76,13 +76,13 @@
   std::map<core::FlowKey, Session> sessions_;
   std::deque<Job> queue_;
   std::size_t busySlots_ = 0;
-  /// Answers by flow and message id, so that a repeat gets the same response (RFC 7252, 4.5). An
-  /// empty message marks a request that is still being worked on.
+  /// Responses by flow and message ID for deduplication (RFC 7252, section 4.5). An empty message
+  /// marks a request in progress.
   std::map<std::pair<core::FlowKey, std::uint16_t>, net::CoapMessage> responses_;
   std::deque<std::pair<core::FlowKey, std::uint16_t>> responseOrder_;
 };
 
-/// Entry point of the subcommand.
+/// Entry point of the backend subcommand.
 int runBackend(int argc, const char* const* argv);
 
 }  // namespace cobaltgauge::standin
--- a/src/standin/client.cc
+++ b/src/standin/client.cc
@@ -11,8 +11,8 @@
 
 using sim::EventKind;
 
-/// Retransmission as in RFC 7252, section 4.2, with a shorter first time-out than its default of
-/// 2 s, since the stand-ins are on one machine.
+/// Retransmission with exponential backoff (RFC 7252, section 4.2). The initial timeout is below
+/// the RFC's default because all stand-ins run on one machine.
 constexpr auto kFirstTimeout = std::chrono::milliseconds(400);
 constexpr int kMaxTransmissions = 7;
 constexpr auto kMaxTimeout = std::chrono::milliseconds(2000);
@@ -25,20 +25,20 @@
 
 const std::vector<ctl::OptionSpec>& clientOptions() {
   static const std::vector<ctl::OptionSpec> kOptions{
-      {"name", "name in the history; part of every session name", ""},
+      {"name", "client name in the history; prefix of session names", ""},
       {"service", "service name in the history", ""},
-      {"target", "the service's address and port", ""},
-      {"fabric", "where packets are sent", ""},
-      {"listen", "where answers arrive", "127.0.0.1:0"},
-      {"network", "first three parts of the sessions' source addresses", "10.80.0"},
-      {"history", "file to append events to", ""},
-      {"sessions", "number of standing sessions", "100"},
-      {"seconds", "time after which no new request is sent", "10"},
-      {"interval-ms", "mean pause between two requests of a session", "500"},
-      {"packet-percent", "share of requests that fetch a large answer", "30"},
-      {"cancel-percent", "share of submissions that are cancelled at once", "0"},
-      {"vni", "Geneve virtual network", "1"},
-      {"seed", "seed of the generator", "1"}};
+      {"target", "address and port of the service", ""},
+      {"fabric", "fabric endpoint that packets are sent to", ""},
+      {"listen", "Geneve endpoint to listen on", "127.0.0.1:0"},
+      {"network", "first three octets of the sessions' source addresses", "10.80.0"},
+      {"history", "history output file", ""},
+      {"sessions", "number of long-lived sessions", "100"},
+      {"seconds", "time until no new requests are sent", "10"},
+      {"interval-ms", "mean interval between requests of a session", "500"},
+      {"packet-percent", "share of requests that fetch a large response", "30"},
+      {"cancel-percent", "share of submissions that are cancelled immediately", "0"},
+      {"vni", "Geneve virtual network identifier", "1"},
+      {"seed", "random seed", "1"}};
   return kOptions;
 }
 
@@ -291,7 +291,7 @@
     const std::string host = std::to_string(1 + i / kSessionsPerAddress);
     const auto source = net::parseAddress(options->text("network") + "." + host);
     if (!source) {
-      std::cerr << "--network: no address results for session " << i << "\n";
+      std::cerr << "--network: invalid source address for session " << i << "\n";
       return 2;
     }
     const auto sourcePort = static_cast<std::uint16_t>(kFirstSourcePort + i % kSessionsPerAddress);
--- a/src/standin/client.h
+++ b/src/standin/client.h
@@ -1,6 +1,6 @@
 /// @file
-/// Stand-in for the users' clients: standing sessions that observe pushes, submit requests that
-/// may not be repeated, and fetch large answers; it records what it was told.
+/// Client stand-in for end-to-end tests. Its long-lived sessions observe notifications, submit
+/// non-idempotent requests, fetch large responses and record the reported outcomes.
 #pragma once
 
 #include <asio/io_context.hpp>
@@ -17,7 +17,7 @@
 
 namespace cobaltgauge::standin {
 
-/// What all sessions of one client process share.
+/// State shared by all sessions of a client process.
 struct ClientContext {
   asio::io_context& context;
   GenevePort& port;
@@ -32,7 +32,7 @@
   bool stopping = false;
 };
 
-/// One standing session. At most one exchange is under way at a time.
+/// Long-lived session with at most one exchange in flight.
 class ClientSession {
  public:
   ClientSession(ClientContext& shared, std::string name, core::FlowKey flow);
@@ -84,7 +84,7 @@
   int transmissions_ = 0;
 };
 
-/// Entry point of the subcommand.
+/// Entry point of the caller subcommand.
 int runClient(int argc, const char* const* argv);
 
 }  // namespace cobaltgauge::standin
--- a/src/standin/fabric.cc
+++ b/src/standin/fabric.cc
@@ -15,13 +15,13 @@
 
 const std::vector<ctl::OptionSpec>& fabricOptions() {
   static const std::vector<ctl::OptionSpec> kOptions{
-      {"listen", "where callers, daemons and back ends send to", ""},
-      {"daemons", "file with one daemon's ADDRESS:PORT a line, read again ten times a second", ""},
-      {"loss-permille", "packets lost, in a thousand", "0"},
-      {"duplicate-permille", "packets sent twice, in a thousand", "0"},
-      {"delay-ms", "least delay of a packet", "0"},
-      {"jitter-ms", "largest further delay; reorders packets", "0"},
-      {"seed", "seed of the generator", "1"}};
+      {"listen", "endpoint that clients, daemons and backends send to", ""},
+      {"daemons", "file with one daemon ADDRESS:PORT per line, reloaded every 100 ms", ""},
+      {"loss-permille", "packet loss in permille", "0"},
+      {"duplicate-permille", "packet duplication in permille", "0"},
+      {"delay-ms", "minimum packet delay", "0"},
+      {"jitter-ms", "maximum additional delay; reorders packets", "0"},
+      {"seed", "random seed", "1"}};
   return kOptions;
 }
 
--- a/src/standin/fabric.h
+++ b/src/standin/fabric.h
@@ -1,6 +1,6 @@
 /// @file
-/// Stand-in for the fabric: sprays clients' packets over the daemons and carries answers back, with
-/// delay, loss, duplication and reordering from a seeded generator.
+/// Fabric stand-in for end-to-end tests. Sends each client packet to a random daemon and forwards
+/// responses, with simulated delay, loss, duplication and reordering.
 #pragma once
 
 #include <array>
@@ -43,11 +43,11 @@
   net::GeneveDecoder decoder_;
   net::InnerPacketReader reader_;
   std::vector<asio::ip::udp::endpoint> daemons_;
-  /// Where each client address was last seen.
+  /// Outer endpoint that each client address last sent from.
   std::map<core::IpAddress, asio::ip::udp::endpoint> clientEndpoints_;
 };
 
-/// Entry point of the subcommand.
+/// Entry point of the fabric subcommand.
 int runFabric(int argc, const char* const* argv);
 
 }  // namespace cobaltgauge::standin
--- a/src/standin/geneve_port.h
+++ b/src/standin/geneve_port.h
@@ -1,5 +1,5 @@
 /// @file
-/// A UDP socket that carries inner UDP packets in Geneve; the stand-ins' network card.
+/// UDP socket that sends and receives Geneve-encapsulated UDP packets.
 #pragma once
 
 #include <array>
@@ -19,11 +19,11 @@
 
   GenevePort(asio::io_context& context, std::uint32_t vni, Handler handler);
 
-  /// Binds and starts to receive; throws asio::system_error where the endpoint is taken.
+  /// Binds the socket and starts receiving. Throws asio::system_error if binding fails.
   void open(const core::Endpoint& endpoint);
   core::Endpoint localEndpoint() const;
 
-  /// Sends one inner UDP packet to an outer destination.
+  /// Sends an encapsulated UDP packet to an outer destination.
   void send(const core::Endpoint& outer, const core::FlowKey& flow, net::ByteView payload);
 
  private:
@@ -38,7 +38,7 @@
   net::InnerPacketReader reader_;
 };
 
-/// @return milliseconds since the Unix epoch; one clock for all stand-ins of a machine.
+/// @return the system time in milliseconds since the Unix epoch.
 std::int64_t wallClockMs();
 
 }  // namespace cobaltgauge::standin
--- a/src/standin/main.cc
+++ b/src/standin/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Entry point of cobaltgauge-standin: small stand-ins for what the platform and the users own.
+/// Entry point of cobaltgauge-standin, stand-ins for external components in end-to-end tests.
 #include <iostream>
 #include <string>
 
@@ -13,8 +13,8 @@
 
 constexpr const char* kUsage =
     "usage: cobaltgauge-standin platform|fabric|backend|caller|relay|throughput "
-    "[FLAGS]\n"
-    "Each subcommand explains its flags with --help.\n";
+    "[OPTIONS]\n"
+    "Run a subcommand with --help for its options.\n";
 
 }  // namespace
 
--- a/src/standin/platform_server.cc
+++ b/src/standin/platform_server.cc
@@ -18,10 +18,10 @@
 
 const std::vector<ctl::OptionSpec>& platformOptions() {
   static const std::vector<ctl::OptionSpec> kOptions{
-      {"listen", "HTTP endpoint", ""},
+      {"listen", "HTTP endpoint to listen on", ""},
       {"configuration", "JSON file, read at each request", ""},
       {"machines", "JSON file, read at each request", ""},
-      {"lag-ms", "content is served as it was this long ago", "0"}};
+      {"lag-ms", "delay until file changes become visible", "0"}};
   return kOptions;
 }
 
@@ -32,7 +32,7 @@
   return content.str();
 }
 
-/// Serves a file as it was some time ago.
+/// Returns the content of a file with a delay of lagMs.
 class DelayedFile {
  public:
   DelayedFile(std::string path, std::int64_t lagMs) : path_(std::move(path)), lagMs_(lagMs) {}
--- a/src/standin/platform_server.h
+++ b/src/standin/platform_server.h
@@ -1,11 +1,10 @@
 /// @file
-/// Stand-in for the platform: serves the configuration and the machine list read-only over HTTP.
-/// It is down while it does not run, and stale when it is started with an older file.
+/// Platform stand-in for end-to-end tests. Serves the configuration and the machine list over HTTP.
 #pragma once
 
 namespace cobaltgauge::standin {
 
-/// Entry point of the subcommand.
+/// Entry point of the platform subcommand.
 int runPlatform(int argc, const char* const* argv);
 
 }  // namespace cobaltgauge::standin
--- a/src/standin/throughput.cc
+++ b/src/standin/throughput.cc
@@ -51,7 +51,7 @@
   return packets;
 }
 
-/// Sends and counts in one thread, so that both measurements cost the sender the same.
+/// Sends and receives in one thread, so that the sender's overhead is equal in all measurements.
 class ThroughputMeter {
  public:
   ThroughputMeter(asio::io_context& context, const core::Endpoint& listen,
@@ -118,11 +118,11 @@
 }  // namespace
 
 int runRelay(int argc, const char* const* argv) {
-  const auto options =
-      ctl::CommandOptions::parse("cobaltgauge-standin relay",
-                                 {{"listen", "where datagrams arrive", ctl::kRequired},
-                                  {"to", "where they are sent", ctl::kRequired}},
-                                 argc, argv);
+  const auto options = ctl::CommandOptions::parse(
+      "cobaltgauge-standin relay",
+      {{"listen", "endpoint to listen on", ctl::kRequired},
+       {"to", "endpoint that datagrams are forwarded to", ctl::kRequired}},
+      argc, argv);
   if (!options) {
     return 2;
   }
@@ -153,13 +153,13 @@
 int runThroughput(int argc, const char* const* argv) {
   const auto options = ctl::CommandOptions::parse(
       "cobaltgauge-standin throughput",
-      {{"target", "daemon or relay that packets are sent to", ctl::kRequired},
-       {"listen", "the back end's place, where packets are counted", ctl::kRequired},
+      {{"target", "endpoint of the daemon or relay to measure", ctl::kRequired},
+       {"listen", "backend endpoint, where packets are counted", ctl::kRequired},
        {"service", "address and port of the service", ctl::kRequired},
-       {"packets", "packets of the measurement", "400000"},
-       {"flows", "flows they belong to", "4096"},
-       {"payload-bytes", "payload of each inner packet", "64"},
-       {"vni", "Geneve virtual network", "1"}},
+       {"packets", "number of packets to send", "400000"},
+       {"flows", "number of flows", "4096"},
+       {"payload-bytes", "inner payload size", "64"},
+       {"vni", "Geneve virtual network identifier", "1"}},
       argc, argv);
   if (!options) {
     return 2;
--- a/src/standin/throughput.h
+++ b/src/standin/throughput.h
@@ -1,14 +1,15 @@
 /// @file
-/// Measures packets per second through a daemon or a bare relay on loopback, and is that relay.
+/// Throughput measurement on loopback, and a plain UDP relay as its baseline.
 #pragma once
 
 namespace cobaltgauge::standin {
 
-/// Sends every datagram on, unchanged: what moving packets costs without any decision.
+/// Forwards every datagram unchanged. Entry point of the relay subcommand.
 int runRelay(int argc, const char* const* argv);
 
-/// Sends packets to a target and counts those that arrive at the back end's place; keeps a bounded
-/// number under way, so that none is lost to a full buffer. Prints packets per second.
+/// Sends packets to a target, counts those that arrive at the backend endpoint and prints packets
+/// per second. The number in flight is limited to avoid loss in socket buffers. Entry point of the
+/// throughput subcommand.
 int runThroughput(int argc, const char* const* argv);
 
 }  // namespace cobaltgauge::standin
--- a/src/standin/work_protocol.h
+++ b/src/standin/work_protocol.h
@@ -1,6 +1,6 @@
 /// @file
-/// What client and back end stand-ins say to each other over CoAP: paths, payloads and the content
-/// of large answers. This is the users' workload, not a protocol of the balancer.
+/// CoAP application protocol between the client and backend stand-ins. It is test workload; the
+/// load balancer does not interpret it.
 #pragma once
 
 #include <cstdint>
@@ -9,17 +9,17 @@
 namespace cobaltgauge::standin {
 
 inline constexpr const char* kSessionPath = "session";  ///< POST, payload: session name.
-inline constexpr const char* kObservePath = "watch";    ///< GET with Observe: pushes.
+inline constexpr const char* kObservePath = "watch";    ///< GET with Observe.
 inline constexpr const char* kSubmitPath = "submit";    ///< POST, payload: "ID DEADLINE_MS".
-inline constexpr const char* kFetchPath = "packet";     ///< GET ?ID with Block2: a large answer.
+inline constexpr const char* kFetchPath = "packet";     ///< GET ?ID with Block2: a large response.
 
-/// A large answer is this many blocks of kBlockBytes.
+/// Number of blocks of a large response, each of kBlockBytes.
 inline constexpr std::uint32_t kResponseBlocks = 8;
 inline constexpr std::uint32_t kBlockBytes = 512;
-/// Block size exponent of RFC 7959: 2^(SZX + 4) bytes.
+/// SZX of RFC 7959, section 2.2: blocks of 2^(SZX + 4) bytes.
 inline constexpr std::uint32_t kBlockSizeExponent = 5;
 
-/// @return the content of one block; depends on the request, so that mixed answers show.
+/// @return the content of one block. It depends on the request, which reveals mixed-up responses.
 inline std::string responseBlock(const std::string& request, std::uint32_t block) {
   const std::string unit = request + "#" + std::to_string(block) + ";";
   std::string content;
@@ -30,7 +30,7 @@
   return content;
 }
 
-/// Block2 option value: number, more flag, size exponent (RFC 7959, section 2.2).
+/// @return the Block2 option value (RFC 7959, section 2.2).
 inline std::uint32_t blockOption(std::uint32_t number, bool more) {
   return (number << 4U) | (more ? 8U : 0U) | kBlockSizeExponent;
 }
