--- a/tests/sim/history_checker_test.cc
+++ b/tests/sim/history_checker_test.cc
@@ -1,4 +1,4 @@
-/// Every rule has a history that breaks it, and one that just does not.
+/// Tests each invariant with a history that violates it and one at the limit that does not.
 #include "sim/history_checker.h"
 
 #include <boost/test/unit_test.hpp>
@@ -14,7 +14,7 @@
   return {time, kind, actor, "web", session, request, detail};
 }
 
-/// A history without fault: one session, one request, one answer.
+/// A history without violations: one session, one request, one large response.
 std::vector<Event> cleanHistory() {
   return {event(1, EventKind::kSessionAtBackend, "b1", "s1"),
           event(2, EventKind::kSessionOpened, "c1", "s1"),
@@ -111,7 +111,7 @@
   };
   BOOST_TEST(check({first, publish, at(10000)}).ok());
   BOOST_TEST(check({first, publish, at(10001)}).configurationViolations == 1U);
-  // A daemon that starts later is not late.
+  // Daemons that start after the publication are not counted.
   BOOST_TEST(check({publish, at(60000)}).ok());
 }
 
--- a/tests/sim/simulation_test.cc
+++ b/tests/sim/simulation_test.cc
@@ -1,4 +1,5 @@
-/// The product in the model, against designs without its mechanisms.
+/// Guards the invariants of the core under simulated faults, and checks that baselines violate
+/// them.
 #include "sim/simulation.h"
 
 #include <boost/test/unit_test.hpp>
@@ -13,7 +14,7 @@
 
 namespace {
 
-/// A small version of Cascadia's fleet, so that a run takes a tenth of a second.
+/// A small scenario with short runs.
 Scenario smallScenario(std::uint64_t seed, Variant variant) {
   Scenario scenario = cascadiaScenario();
   scenario.seed = seed;
@@ -40,7 +41,7 @@
   return text;
 }
 
-/// One kind of planned change or fault, alone.
+/// A named schedule of one kind of change or fault.
 struct FaultCase {
   const char* name;
   std::vector<FaultSpec> faults;
@@ -54,7 +55,7 @@
         {18s, FaultKind::kRemoveBackend, "rate-watch-2"}}},
       {"add", {{12s, FaultKind::kAddBackend, "rate-watch"}}},
       {"policy", {{12s, FaultKind::kReplacePolicy, "rate-watch"}}},
-      {"planned stop of a daemon during a drain",
+      {"graceful shutdown of a daemon during a drain",
        {{12s, FaultKind::kDrainBackend, "rate-watch-2"},
         {12500ms, FaultKind::kStopDaemon, "hall-2-lb-3"}}},
       {"two daemons join at once",
@@ -65,16 +66,16 @@
        {{12s, FaultKind::kDrainBackend, "rate-watch-2"},
         {15s, FaultKind::kKillDaemon, "hall-1-lb-1"},
         {19s, FaultKind::kJoinDaemon, "hall-1"}}},
-      {"freeze over a drain and a late wake-up",
+      {"suspension over a drain and a late resume",
        {{12s, FaultKind::kSuspendDaemon, "hall-2-lb-3"},
         {13s, FaultKind::kDrainBackend, "rate-watch-2"},
         {19s, FaultKind::kResumeDaemon, "hall-2-lb-3"}}},
-      {"freeze over two versions that undo each other",
+      {"suspension over two versions that revert each other",
        {{12s, FaultKind::kSuspendDaemon, "hall-2-lb-3"},
         {13s, FaultKind::kReplacePolicy, "rate-watch"},
         {16s, FaultKind::kReplacePolicy, "rate-watch"},
         {19s, FaultKind::kResumeDaemon, "hall-2-lb-3"}}},
-      {"cut and heal around an added back end",
+      {"partition and recovery around an added backend",
        {{12s, FaultKind::kPartitionZone, "hall-2"},
         {14s, FaultKind::kAddBackend, "rate-watch"},
         {19s, FaultKind::kRecoverZone, "hall-2"}}},
--- a/tests/sim/stateful_test.cc
+++ b/tests/sim/stateful_test.cc
@@ -1,5 +1,5 @@
-/// Stateful fuzzing: RapidCheck makes and shrinks sequences of commands on a fleet of the daemons'
-/// own core; the model is a map from flow to the back end that first got it.
+/// Stateful property test: in random command sequences, all packets of a flow must reach the
+/// backend that received its first packet.
 #include <rapidcheck.h>
 #include <rapidcheck/state.h>
 
@@ -20,11 +20,11 @@
 constexpr std::size_t kMaxDaemons = 6;
 constexpr std::size_t kBackends = 6;
 
-/// What a test may know of the fleet: the model.
+/// Expected state of the daemons and backends.
 struct Model {
   std::vector<bool> running = std::vector<bool>(kInitialDaemons, true);
   std::vector<bool> suspended = std::vector<bool>(kInitialDaemons, false);
-  std::size_t draining = 0;  ///< Back ends 0 to draining-1 are leaving.
+  std::size_t draining = 0;  ///< Number of draining backends, starting at index 0.
   int opened = 0;
 
   std::vector<std::size_t> serving() const {
@@ -38,7 +38,7 @@
   }
 };
 
-/// Daemons in lock step on a network that loses some messages.
+/// Daemons with synchronized ticks on a network with message loss.
 class FleetUnderTest {
  public:
   FleetUnderTest() {
@@ -93,12 +93,12 @@
     for (const auto& daemon : daemons_) {
       if (daemon->running && !daemon->suspended) {
         daemon->balancer->offerConfiguration(document(), now_);
-        break;  // One reader; the others learn it from their peers.
+        break;  // One daemon reads the platform; the others get the version from peers.
       }
     }
   }
 
-  /// @return the back end that gets the packet, kNoBackend where it was dropped on the way.
+  /// @return the backend that receives the packet, kNoBackend if it was dropped.
   BackendId send(std::size_t ingress, int flow) {
     PacketSummary packet = tests::packetFrom(static_cast<std::uint8_t>(flow));
     packet.flow.source.port = static_cast<std::uint16_t>(20000 + flow / 256);
@@ -145,7 +145,7 @@
   };
   struct Daemon {
     std::unique_ptr<Balancer> balancer;
-    std::vector<Delivery> inbox;  ///< Of a suspended process.
+    std::vector<Delivery> inbox;  ///< Messages received while suspended.
     bool running = true;
     bool suspended = false;
   };
@@ -165,7 +165,7 @@
 
   void deliver() {
     constexpr std::uint64_t kLossPermille = 10;
-    constexpr int kDeliveryRounds = 4;  // Ping-pong beyond this waits for the next tick.
+    constexpr int kDeliveryRounds = 4;  // Further replies wait for the next tick.
     for (int round = 0; round < kDeliveryRounds; ++round) {
       for (const auto& from : daemons_) {
         if (!from->running || from->suspended) {
@@ -195,12 +195,12 @@
   std::size_t drained_ = 0;
 
  public:
-  std::map<int, BackendId> firstBackends;  ///< Back end of each flow, by its first packet.
+  std::map<int, BackendId> firstBackends;  ///< Backend that received the first packet of each flow.
 };
 
 using FleetCommand = rc::state::Command<Model, FleetUnderTest>;
 
-/// Sends packets of all flows through every serving daemon, twice a second for `seconds`.
+/// Sends a packet of each flow through every serving daemon twice per second for `seconds`.
 void checkFlows(const Model& model, FleetUnderTest& fleet, int seconds) {
   for (int round = 0; round < seconds * 2; ++round) {
     for (auto& [flow, backend] : fleet.firstBackends) {
@@ -213,7 +213,7 @@
   }
 }
 
-/// Sends packets of all flows as checkFlows() does, by the daemons that serve after a command.
+/// Calls checkFlows() with the expected state after a command.
 void checkFlowsAfter(const FleetCommand& command, const Model& before, FleetUnderTest& fleet,
                      int seconds) {
   Model after = before;
@@ -247,12 +247,12 @@
     fleet.drainNextBackend();
     fleet.advance(200ms);
     checkFlows(before, fleet, 3);
-    // A flow that opens now must not reach a back end that leaves.
+    // New flows must not reach a draining backend.
     const int flow = 5000 + static_cast<int>(before.draining);
     const BackendId backend = fleet.send(before.serving().front(), flow);
     RC_ASSERT(backend == kNoBackend || !fleet.isDraining(backend));
   }
-  void show(std::ostream& out) const override { out << "drain a back end"; }
+  void show(std::ostream& out) const override { out << "drain a backend"; }
 };
 
 struct JoinDaemon : FleetCommand {
@@ -270,7 +270,7 @@
   void show(std::ostream& out) const override { out << "join"; }
 };
 
-/// Commands that pick one serving daemon; at least two others keep serving.
+/// Command on one serving daemon; requires two other serving daemons.
 struct OneDaemonCommand : FleetCommand {
   explicit OneDaemonCommand(const Model& model) {
     const std::vector<std::size_t> serving = model.serving();
@@ -302,7 +302,7 @@
     fleet.finishShutdown(index);
     checkFlowsAfter(*this, before, fleet, 1);
   }
-  void show(std::ostream& out) const override { out << "planned stop of " << index; }
+  void show(std::ostream& out) const override { out << "graceful shutdown of " << index; }
 };
 
 struct SuspendDaemon : OneDaemonCommand {
@@ -312,7 +312,7 @@
     fleet.suspend(index);
     checkFlowsAfter(*this, before, fleet, 4);
   }
-  void show(std::ostream& out) const override { out << "freeze " << index; }
+  void show(std::ostream& out) const override { out << "suspend " << index; }
 };
 
 struct ResumeDaemons : FleetCommand {
@@ -331,7 +331,7 @@
     }
     checkFlowsAfter(*this, before, fleet, 3);
   }
-  void show(std::ostream& out) const override { out << "wake all"; }
+  void show(std::ostream& out) const override { out << "resume all"; }
 };
 
 }  // namespace
@@ -339,7 +339,7 @@
 BOOST_AUTO_TEST_SUITE(StatefulTest)
 
 BOOST_AUTO_TEST_CASE(FlowsKeepTheirBackendInRandomCommandSequences) {
-  const bool ok = rc::check("flows keep their back end", [] {
+  const bool ok = rc::check("flows keep their backend", [] {
     FleetUnderTest fleet;
     const Model model;
     rc::state::check(
