--- a/src/sim/simulation.cc
+++ b/src/sim/simulation.cc
@@ -89,8 +89,8 @@
   const std::string zone = backend.zone;
   backends_.push_back(std::make_unique<SimulatedBackend>(
       queue_, service.spec, backend.name, zone, address,
-      [this, zone](std::size_t client, const WorkResponse& answer) {
-        sendResponse(client, zone, answer);
+      [this, zone](std::size_t client, const WorkResponse& response) {
+        sendResponse(client, zone, response);
       },
       [this](Event event) { record(std::move(event)); }));
   backendsByEndpoint_[backend.endpoint] = backends_.back().get();
