--- a/src/sim/scenario_loader.cc
+++ b/src/sim/scenario_loader.cc
@@ -105,7 +105,7 @@
     }
     const auto found = node->value_exact<std::int64_t>();
     if (!found || *found < 0 || *found > highest) {
-      fail(*node, key, "must be a whole number from 0 to " + std::to_string(highest));
+      fail(*node, key, "must be an integer from 0 to " + std::to_string(highest));
       return current;
     }
     return *found;
@@ -164,7 +164,7 @@
   reader.text("target", fault.target);
   const std::optional<FaultKind> known = faultKindFromName(kind);
   if (!known) {
-    reader.reject("kind", "\"" + kind + "\" is no fault; see docs/SIMULATOR.md");
+    reader.reject("kind", "\"" + kind + "\" is not a fault kind; see docs/SIMULATOR.md");
   }
   fault.kind = known.value_or(FaultKind::kKillDaemon);
   return fault;
--- a/tests/sim/simulation_test.cc
+++ b/tests/sim/simulation_test.cc
@@ -170,9 +170,9 @@
   BOOST_TEST(reason(valid).empty());
   BOOST_TEST(reason("x = 1\n" + valid) == "T: line 1: x: unknown field");
   BOOST_TEST(reason(valid + "sessions = -1\n") ==
-             "T: line 5: service.sessions: must be a whole number from 0 to 1000000");
+             "T: line 5: service.sessions: must be an integer from 0 to 1000000");
   BOOST_TEST(reason(valid + "[[fault]]\nkind = \"x\"\n") ==
-             "T: line 5: fault.kind: \"x\" is no fault; see docs/SIMULATOR.md");
+             "T: line 5: fault.kind: \"x\" is not a fault kind; see docs/SIMULATOR.md");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
