--- a/src/standin/client.cc
+++ b/src/standin/client.cc
@@ -247,8 +247,8 @@
     fetchBlock(block_ + 1);
     return;
   }
-  const bool whole = responseBody_.size() == std::size_t{kResponseBlocks} * kBlockBytes;
-  record(whole ? EventKind::kResponseComplete : EventKind::kResponseInvalid, requestId_);
+  const bool complete = responseBody_.size() == std::size_t{kResponseBlocks} * kBlockBytes;
+  record(complete ? EventKind::kResponseComplete : EventKind::kResponseInvalid, requestId_);
   pause();
 }
 
