--- a/src/sim/scenario_loader.cc
+++ b/src/sim/scenario_loader.cc
@@ -12,7 +12,7 @@
 constexpr std::int64_t kMaxCount = 1'000'000;
 constexpr std::int64_t kMaxMilliseconds = 86'400'000;
 
-/// Checked access to one TOML table; keeps the first error.
+/// Reads fields of a TOML table and records the first error. The destructor reports unknown fields.
 class TableReader {
  public:
   TableReader(const toml::table& table, std::string path, std::string& error)
@@ -32,7 +32,7 @@
     if (const toml::node* node = find(key)) {
       const auto found = node->value_exact<std::string>();
       if (!found) {
-        fail(*node, key, "must be a text");
+        fail(*node, key, "must be a string");
       }
       value = found.value_or(value);
     }
@@ -43,7 +43,6 @@
     value = static_cast<T>(number(key, static_cast<std::int64_t>(value), kMaxCount));
   }
 
-  /// Reads whole milliseconds.
   void milliseconds(const char* key, core::Duration& value) {
     using std::chrono::milliseconds;
     const auto current = std::chrono::duration_cast<milliseconds>(value).count();
@@ -52,12 +51,11 @@
     }
   }
 
-  /// Reads whole microseconds.
   void microseconds(const char* key, core::Duration& value) {
     value = core::Duration(number(key, value.count(), kMaxMilliseconds));
   }
 
-  /// @return the tables of an array of tables; empty where there is none.
+  /// @return the elements of an array of tables; empty if the field is missing.
   std::vector<const toml::table*> tables(const char* key) {
     std::vector<const toml::table*> result;
     const toml::node* node = find(key);
@@ -70,7 +68,7 @@
         if (const toml::table* table = item.as_table()) {
           result.push_back(table);
         } else {
-          fail(item, key, "must hold tables");
+          fail(item, key, "must contain only tables");
         }
       }
     }
@@ -92,7 +90,6 @@
     }
   }
 
-  /// Reports an error about a field's value.
   void reject(const char* key, const std::string& problem) { fail(table_, key, problem); }
 
  private:
@@ -108,7 +105,7 @@
     }
     const auto found = node->value_exact<std::int64_t>();
     if (!found || *found < 0 || *found > highest) {
-      fail(*node, key, "must be a whole number from 0 to " + std::to_string(highest));
+      fail(*node, key, "must be an integer from 0 to " + std::to_string(highest));
       return current;
     }
     return *found;
@@ -144,7 +141,7 @@
   reader.count("slots", service.slots);
   reader.count("max_sessions", service.maxSessions);
   reader.microseconds("service_us", service.serviceTime);
-  reader.milliseconds("cold_ms", service.coldTime);
+  reader.milliseconds("cold_ms", service.warmUpTime);
   reader.milliseconds("request_interval_ms", service.requestInterval);
   reader.milliseconds("session_lifetime_ms", service.sessionLifetime);
   reader.count("fetch_percent", service.fetchPercent);
@@ -167,7 +164,7 @@
   reader.text("target", fault.target);
   const std::optional<FaultKind> known = faultKindFromName(kind);
   if (!known) {
-    reader.reject("kind", "\"" + kind + "\" is no fault; see docs/SIMULATOR.md");
+    reader.reject("kind", "\"" + kind + "\" is not a fault kind; see docs/SIMULATOR.md");
   }
   fault.kind = known.value_or(FaultKind::kKillDaemon);
   return fault;
@@ -178,7 +175,7 @@
   reader.microseconds("same_zone_us", network.sameZone);
   reader.microseconds("cross_zone_us", network.crossZone);
   reader.microseconds("cross_region_us", network.crossRegion);
-  reader.microseconds("caller_us", network.caller);
+  reader.microseconds("caller_us", network.client);
   reader.microseconds("jitter_us", network.jitter);
   reader.count("loss_permille", network.lossPermille);
   reader.count("duplicate_permille", network.duplicatePermille);
@@ -199,7 +196,7 @@
   reader.milliseconds("platform_lag_ms", scenario.platformLag);
   reader.milliseconds("platform_poll_ms", scenario.platformPoll);
   reader.milliseconds("fabric_lag_ms", scenario.fabricLag);
-  reader.milliseconds("linger_ms", scenario.linger);
+  reader.milliseconds("linger_ms", scenario.shutdownDelay);
   reader.count("flow_table_entries", scenario.flowTableEntries);
   for (const toml::table* zone : reader.tables("zone")) {
     scenario.zones.push_back(readZone(*zone, error));
@@ -252,7 +249,7 @@
 std::optional<Scenario> ScenarioLoader::loadFile(const std::string& path) {
   std::ifstream in(path);
   if (!in) {
-    lastReason_ = path + ": cannot be opened";
+    lastReason_ = path + ": cannot open file";
     return std::nullopt;
   }
   std::ostringstream text;
--- a/src/standin/main.cc
+++ b/src/standin/main.cc
@@ -1,10 +1,10 @@
 /// @file
-/// Entry point of cobaltgauge-standin: small stand-ins for what the platform and the users own.
+/// Entry point of cobaltgauge-standin, stand-ins for external components in end-to-end tests.
 #include <iostream>
 #include <string>
 
 #include "standin/backend.h"
-#include "standin/caller.h"
+#include "standin/client.h"
 #include "standin/fabric.h"
 #include "standin/platform_server.h"
 #include "standin/throughput.h"
@@ -13,8 +13,8 @@
 
 constexpr const char* kUsage =
     "usage: cobaltgauge-standin platform|fabric|backend|caller|relay|throughput "
-    "[FLAGS]\n"
-    "Each subcommand explains its flags with --help.\n";
+    "[OPTIONS]\n"
+    "Run a subcommand with --help for its options.\n";
 
 }  // namespace
 
@@ -38,7 +38,7 @@
       return runThroughput(argc - 1, argv + 1);
     }
     if (command == "caller") {
-      return runCaller(argc - 1, argv + 1);
+      return runClient(argc - 1, argv + 1);
     }
   } catch (const std::exception& error) {
     std::cerr << "cobaltgauge-standin " << command << ": " << error.what() << "\n";
--- a/src/standin/platform_server.cc
+++ b/src/standin/platform_server.cc
@@ -18,10 +18,10 @@
 
 const std::vector<ctl::OptionSpec>& platformOptions() {
   static const std::vector<ctl::OptionSpec> kOptions{
-      {"listen", "HTTP endpoint", ""},
+      {"listen", "HTTP endpoint to listen on", ""},
       {"configuration", "JSON file, read at each request", ""},
       {"machines", "JSON file, read at each request", ""},
-      {"lag-ms", "content is served as it was this long ago", "0"}};
+      {"lag-ms", "delay until file changes become visible", "0"}};
   return kOptions;
 }
 
@@ -32,10 +32,10 @@
   return content.str();
 }
 
-/// Serves a file as it was some time ago.
-class LaggingFile {
+/// Returns the content of a file with a delay of lagMs.
+class DelayedFile {
  public:
-  LaggingFile(std::string path, std::int64_t lagMs) : path_(std::move(path)), lagMs_(lagMs) {}
+  DelayedFile(std::string path, std::int64_t lagMs) : path_(std::move(path)), lagMs_(lagMs) {}
 
   std::string content() {
     const std::lock_guard lock(mutex_);
@@ -62,7 +62,7 @@
   std::deque<Version> versions_;
 };
 
-void serve(LaggingFile& file, const httplib::Request& request, httplib::Response& response) {
+void serve(DelayedFile& file, const httplib::Request& request, httplib::Response& response) {
   constexpr int kNotModified = 304;
   const std::string content = file.content();
   const std::string tag = "\"" + std::to_string(core::hashName(content)) + "\"";
@@ -83,8 +83,8 @@
     return 2;
   }
   const auto lag = static_cast<std::int64_t>(options->number("lag-ms"));
-  LaggingFile configuration(options->text("configuration"), lag);
-  LaggingFile machines(options->text("machines"), lag);
+  DelayedFile configuration(options->text("configuration"), lag);
+  DelayedFile machines(options->text("machines"), lag);
   httplib::Server server;
   server.Get("/v1/configuration",
              [&configuration](const httplib::Request& request, httplib::Response& response) {
--- a/src/standin/throughput.cc
+++ b/src/standin/throughput.cc
@@ -19,11 +19,11 @@
 constexpr int kSocketBufferBytes = 8 << 20;
 constexpr int kRelayBatch = 64;
 constexpr std::size_t kMaxDatagram = 65536;
-constexpr std::uint64_t kUnderWay = 256;
-constexpr auto kLossPatience = std::chrono::milliseconds(200);
+constexpr std::uint64_t kMaxInFlight = 256;
+constexpr auto kLossTimeout = std::chrono::milliseconds(200);
 constexpr std::uint16_t kFirstPort = 20000;
 
-void prepare(asio::ip::udp::socket& socket, const core::Endpoint& endpoint) {
+void openSocket(asio::ip::udp::socket& socket, const core::Endpoint& endpoint) {
   const asio::ip::udp::endpoint udp = net::toUdp(endpoint);
   socket.open(udp.protocol());
   socket.bind(udp);
@@ -51,12 +51,13 @@
   return packets;
 }
 
-/// Sends and counts in one thread, so that both measurements cost the sender the same.
-class Meter {
+/// Sends and receives in one thread, so that the sender's overhead is equal in all measurements.
+class ThroughputMeter {
  public:
-  Meter(asio::io_context& context, const core::Endpoint& listen, const core::Endpoint& target)
+  ThroughputMeter(asio::io_context& context, const core::Endpoint& listen,
+                  const core::Endpoint& target)
       : sender_(context, asio::ip::udp::v4()), receiver_(context), target_(net::toUdp(target)) {
-    prepare(receiver_, listen);
+    openSocket(receiver_, listen);
     sender_.non_blocking(true);
   }
 
@@ -66,13 +67,13 @@
     auto lastArrival = began;
     std::size_t next = 0;
     while (received_ + lost_ < count) {
-      if (sent_ < count && sent_ - received_ - lost_ < kUnderWay) {
+      if (sent_ < count && sent_ - received_ - lost_ < kMaxInFlight) {
         send(packets[next]);
         next = (next + 1) % packets.size();
       }
       if (receiveAll()) {
         lastArrival = Clock::now();
-      } else if (Clock::now() - lastArrival > kLossPatience) {
+      } else if (Clock::now() - lastArrival > kLossTimeout) {
         lost_ = sent_ - received_;
         lastArrival = Clock::now();
       }
@@ -117,17 +118,17 @@
 }  // namespace
 
 int runRelay(int argc, const char* const* argv) {
-  const auto options =
-      ctl::CommandOptions::parse("cobaltgauge-standin relay",
-                                 {{"listen", "where datagrams arrive", ctl::kRequired},
-                                  {"to", "where they are sent", ctl::kRequired}},
-                                 argc, argv);
+  const auto options = ctl::CommandOptions::parse(
+      "cobaltgauge-standin relay",
+      {{"listen", "endpoint to listen on", ctl::kRequired},
+       {"to", "endpoint that datagrams are forwarded to", ctl::kRequired}},
+      argc, argv);
   if (!options) {
     return 2;
   }
   asio::io_context context;
   asio::ip::udp::socket socket(context);
-  prepare(socket, options->endpoint("listen"));
+  openSocket(socket, options->endpoint("listen"));
   const asio::ip::udp::endpoint target = net::toUdp(options->endpoint("to"));
   std::array<std::uint8_t, kMaxDatagram> buffer{};
   std::function<void()> wait = [&] {
@@ -152,13 +153,13 @@
 int runThroughput(int argc, const char* const* argv) {
   const auto options = ctl::CommandOptions::parse(
       "cobaltgauge-standin throughput",
-      {{"target", "daemon or relay that packets are sent to", ctl::kRequired},
-       {"listen", "the back end's place, where packets are counted", ctl::kRequired},
+      {{"target", "endpoint of the daemon or relay to measure", ctl::kRequired},
+       {"listen", "backend endpoint, where packets are counted", ctl::kRequired},
        {"service", "address and port of the service", ctl::kRequired},
-       {"packets", "packets of the measurement", "400000"},
-       {"flows", "flows they belong to", "4096"},
-       {"payload-bytes", "payload of each inner packet", "64"},
-       {"vni", "Geneve virtual network", "1"}},
+       {"packets", "number of packets to send", "400000"},
+       {"flows", "number of flows", "4096"},
+       {"payload-bytes", "inner payload size", "64"},
+       {"vni", "Geneve virtual network identifier", "1"}},
       argc, argv);
   if (!options) {
     return 2;
@@ -167,7 +168,7 @@
                                    options->number("payload-bytes"),
                                    static_cast<std::uint32_t>(options->number("vni")));
   asio::io_context context;
-  Meter meter(context, options->endpoint("listen"), options->endpoint("target"));
+  ThroughputMeter meter(context, options->endpoint("listen"), options->endpoint("target"));
   const double rate = meter.run(packets, options->number("packets"));
   std::cout << static_cast<std::uint64_t>(rate) << " packets/s, lost " << meter.lost() << "\n";
   return 0;
--- a/tests/sim/world_test.cc
+++ b/tests/sim/simulation_test.cc
@@ -1,5 +1,6 @@
-/// The product in the model, against designs without its mechanisms.
-#include "sim/world.h"
+/// Guards the invariants of the core under simulated faults, and checks that baselines violate
+/// them.
+#include "sim/simulation.h"
 
 #include <boost/test/unit_test.hpp>
 
@@ -13,7 +14,7 @@
 
 namespace {
 
-/// A small version of Cascadia's fleet, so that a run takes a tenth of a second.
+/// A small scenario with short runs.
 Scenario smallScenario(std::uint64_t seed, Variant variant) {
   Scenario scenario = cascadiaScenario();
   scenario.seed = seed;
@@ -29,7 +30,7 @@
 RunResult runWith(std::uint64_t seed, Variant variant, std::vector<FaultSpec> faults) {
   Scenario scenario = smallScenario(seed, variant);
   scenario.faults = std::move(faults);
-  return World(scenario).run();
+  return Simulation(scenario).run();
 }
 
 std::string historyText(const RunResult& result) {
@@ -40,7 +41,7 @@
   return text;
 }
 
-/// One kind of planned change or fault, alone.
+/// A named schedule of one kind of change or fault.
 struct FaultCase {
   const char* name;
   std::vector<FaultSpec> faults;
@@ -54,7 +55,7 @@
         {18s, FaultKind::kRemoveBackend, "rate-watch-2"}}},
       {"add", {{12s, FaultKind::kAddBackend, "rate-watch"}}},
       {"policy", {{12s, FaultKind::kReplacePolicy, "rate-watch"}}},
-      {"planned stop of a daemon during a drain",
+      {"graceful shutdown of a daemon during a drain",
        {{12s, FaultKind::kDrainBackend, "rate-watch-2"},
         {12500ms, FaultKind::kStopDaemon, "hall-2-lb-3"}}},
       {"two daemons join at once",
@@ -65,19 +66,19 @@
        {{12s, FaultKind::kDrainBackend, "rate-watch-2"},
         {15s, FaultKind::kKillDaemon, "hall-1-lb-1"},
         {19s, FaultKind::kJoinDaemon, "hall-1"}}},
-      {"freeze over a drain and a late wake-up",
-       {{12s, FaultKind::kFreezeDaemon, "hall-2-lb-3"},
+      {"suspension over a drain and a late resume",
+       {{12s, FaultKind::kSuspendDaemon, "hall-2-lb-3"},
         {13s, FaultKind::kDrainBackend, "rate-watch-2"},
-        {19s, FaultKind::kWakeDaemon, "hall-2-lb-3"}}},
-      {"freeze over two versions that undo each other",
-       {{12s, FaultKind::kFreezeDaemon, "hall-2-lb-3"},
+        {19s, FaultKind::kResumeDaemon, "hall-2-lb-3"}}},
+      {"suspension over two versions that revert each other",
+       {{12s, FaultKind::kSuspendDaemon, "hall-2-lb-3"},
         {13s, FaultKind::kReplacePolicy, "rate-watch"},
         {16s, FaultKind::kReplacePolicy, "rate-watch"},
-        {19s, FaultKind::kWakeDaemon, "hall-2-lb-3"}}},
-      {"cut and heal around an added back end",
-       {{12s, FaultKind::kCutZone, "hall-2"},
+        {19s, FaultKind::kResumeDaemon, "hall-2-lb-3"}}},
+      {"partition and recovery around an added backend",
+       {{12s, FaultKind::kPartitionZone, "hall-2"},
         {14s, FaultKind::kAddBackend, "rate-watch"},
-        {19s, FaultKind::kHealZone, "hall-2"}}},
+        {19s, FaultKind::kRecoverZone, "hall-2"}}},
       {"platform down and stale, a daemon joins",
        {{12s, FaultKind::kDrainBackend, "rate-watch-2"},
         {15s, FaultKind::kPlatformDown, ""},
@@ -91,7 +92,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_SUITE(WorldTest)
+BOOST_AUTO_TEST_SUITE(SimulationTest)
 
 BOOST_AUTO_TEST_CASE(SameSeedGivesTheSameHistory) {
   const auto once = runWith(5, Variant::kCobaltgauge, faultCases()[0].faults);
@@ -101,7 +102,7 @@
   BOOST_TEST((historyText(once) != historyText(other)));
 }
 
-BOOST_AUTO_TEST_CASE(EachFaultAloneBreaksNothing) {
+BOOST_AUTO_TEST_CASE(SingleFaultsKeepInvariants) {
   for (const FaultCase& faultCase : faultCases()) {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
       const RunResult result = runWith(seed, Variant::kCobaltgauge, faultCase.faults);
@@ -115,19 +116,19 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(TableWithoutStateBreaksSessionsOnADrain) {
+BOOST_AUTO_TEST_CASE(StatelessTableBreaksSessionsOnDrain) {
   const RunResult result = runWith(1, Variant::kTable, faultCases()[0].faults);
   BOOST_TEST(result.report.brokenSessions > 0U);
 }
 
-BOOST_AUTO_TEST_CASE(LocalCacheAloneBreaksSessionsWhenADaemonJoins) {
+BOOST_AUTO_TEST_CASE(LocalFlowCacheBreaksSessionsOnDaemonJoin) {
   const std::vector<FaultSpec> faults{{12s, FaultKind::kAddBackend, "rate-watch"},
                                       {14s, FaultKind::kJoinDaemon, "hall-1"}};
   BOOST_TEST(runWith(1, Variant::kCachedTable, faults).report.brokenSessions > 0U);
   BOOST_TEST(runWith(1, Variant::kCobaltgauge, faults).report.brokenSessions == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(MixedFaultsBreakNothingOnTheseSeeds) {
+BOOST_AUTO_TEST_CASE(RandomFaultsKeepInvariants) {
   SweepOptions options;
   options.lastSeed = 40;
   options.variants = {Variant::kCobaltgauge};
@@ -138,13 +139,13 @@
   BOOST_TEST(summary.runs == 40U);
   BOOST_TEST(summary.totals.brokenSessions == 0U);
   BOOST_TEST(summary.totals.doubleExecutions == 0U);
-  BOOST_TEST(summary.totals.strays == 0U);
+  BOOST_TEST(summary.totals.misdelivered == 0U);
   BOOST_TEST(summary.totals.falseRefusals == 0U);
-  BOOST_TEST(summary.totals.lateNewWork == 0U);
-  BOOST_TEST(summary.totals.configurationFaults == 0U);
+  BOOST_TEST(summary.totals.lateNewSessions == 0U);
+  BOOST_TEST(summary.totals.configurationViolations == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(SweepDoesNotDependOnThreads) {
+BOOST_AUTO_TEST_CASE(SweepResultIsIndependentOfThreadCount) {
   SweepOptions options;
   options.lastSeed = 3;
   options.variants = {Variant::kCobaltgauge, Variant::kTable};
@@ -154,7 +155,7 @@
   BOOST_TEST(one == summariesToJson(scenario, sweep(scenario, options)));
 }
 
-BOOST_AUTO_TEST_CASE(ShippedScenariosLoadAndBadOnesSayWhy) {
+BOOST_AUTO_TEST_CASE(ScenarioFilesLoadAndInvalidOnesAreRejected) {
   ScenarioLoader loader;
   for (const char* name : {"cascadia", "pohjatiib", "full_house"}) {
     const std::string path = std::string(COBALTGAUGE_SOURCE_DIR) + "/scenarios/" + name + ".toml";
@@ -169,9 +170,9 @@
   BOOST_TEST(reason(valid).empty());
   BOOST_TEST(reason("x = 1\n" + valid) == "T: line 1: x: unknown field");
   BOOST_TEST(reason(valid + "sessions = -1\n") ==
-             "T: line 5: service.sessions: must be a whole number from 0 to 1000000");
+             "T: line 5: service.sessions: must be an integer from 0 to 1000000");
   BOOST_TEST(reason(valid + "[[fault]]\nkind = \"x\"\n") ==
-             "T: line 5: fault.kind: \"x\" is no fault; see docs/SIMULATOR.md");
+             "T: line 5: fault.kind: \"x\" is not a fault kind; see docs/SIMULATOR.md");
 }
 
 BOOST_AUTO_TEST_SUITE_END()
