--- a/tests/core/registration_order_test.cc
+++ b/tests/core/registration_order_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// What a back end has said of itself, and a store that shows something older: it came back from a
-/// copy, or took a write late.
+/// Order of a backend's registration updates if the store returns older ones, after a restore or a
+/// delayed write.
 #include <boost/test/unit_test.hpp>
 
 #include "core/backend_registry.h"
@@ -66,7 +66,7 @@
   BOOST_TEST(!takesNewFlows());
 }
 
-// It has started again under its id, and begins its numbers anew.
+// The backend restarted under the same id, and its numbers start again.
 BOOST_AUTO_TEST_CASE(restarted_statement_numbers_are_accepted) {
   putRegistration(BackendState::kActive, 10, 20);
   BOOST_TEST((putRegistration(BackendState::kDraining, 1, 21) == RegistryEvent::kLeaving));
@@ -85,8 +85,8 @@
   BOOST_TEST(!takesNewFlows());
 }
 
-// A registration lapses where its heartbeats are late. They raise no revision, so nothing but the
-// copy's item would say that the back end is there.
+// Heartbeats do not raise the revision, so after a restore only the item itself shows that the
+// backend exists.
 BOOST_AUTO_TEST_CASE(expired_backend_in_restored_store_takes_new_flows) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   backends.remove(kKey, {StoreEra{1}, 47}, now);
@@ -109,7 +109,7 @@
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 20}));
 }
 
-// A copy lacked it, and it was written again under the number that it had had before.
+// The restored store lacked the item, and it was written again under its previous number.
 BOOST_AUTO_TEST_CASE(same_revision_number_in_later_era_is_a_change) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   BOOST_TEST(
@@ -118,7 +118,7 @@
   BOOST_TEST(takesNewFlows());
 }
 
-// Its address belongs to a later back end, which the copy lacked.
+// The restored store lacks the later backend at the same address.
 BOOST_AUTO_TEST_CASE(restored_stale_backend_is_superseded_by_current_one) {
   const auto put = [this](std::uint64_t id, Revision revision) {
     backends.put("servers/" + std::to_string(id), makeRegistration(id, "web", 1, 1), revision, now);
