--- a/src/daemon/backend_prober.cc
+++ b/src/daemon/backend_prober.cc
@@ -28,12 +28,12 @@
               std::vector<core::Endpoint> witnessEndpoints)
       : backend(suspect),
         witnesses(std::move(witnessEndpoints)),
-        trial(witnesses.size(), bootTime()),
+        failureProbe(witnesses.size(), bootTime()),
         timer(context) {}
 
   core::BackendAddress backend;
   std::vector<core::Endpoint> witnesses;
-  core::FailureProbe trial;
+  core::FailureProbe failureProbe;
   asio::steady_timer timer;
   std::list<asio::ip::tcp::socket> sockets;
   bool finished = false;
@@ -45,18 +45,18 @@
 }
 
 void BackendProber::runStep(const std::shared_ptr<ActiveProbe>& probe) {
-  const core::FailureProbe::Step step = probe->trial.Advance(bootTime());
-  const std::size_t stepNumber = probe->trial.GetStepIndex();
+  const core::FailureProbe::Step step = probe->failureProbe.Advance(bootTime());
+  const std::size_t stepNumber = probe->failureProbe.GetStepIndex();
   if (step.ConnectsToSuspect) {
     connect(probe, probe->backend.endpoint, [this, probe](core::ConnectOutcome outcome) {
-      probe->trial.OnSuspectResult(outcome);
+      probe->failureProbe.OnSuspectResult(outcome);
       finishIfDone(probe);
     });
   }
   for (std::size_t i = 0; i < probe->witnesses.size() && i < step.ConnectsToWitness.size(); ++i) {
     if (step.ConnectsToWitness[i]) {
       connect(probe, probe->witnesses[i], [probe, i, stepNumber](core::ConnectOutcome outcome) {
-        probe->trial.OnWitnessResult(i, stepNumber, outcome);
+        probe->failureProbe.OnWitnessResult(i, stepNumber, outcome);
       });
     }
   }
@@ -64,7 +64,7 @@
   if (probe->finished) {
     return;
   }
-  probe->timer.expires_after(probe->trial.GetNextStepTime() - bootTime());
+  probe->timer.expires_after(probe->failureProbe.GetNextStepTime() - bootTime());
   probe->timer.async_wait([this, probe](const asio::error_code& error) {
     if (!error && !probe->finished) {
       runStep(probe);
@@ -87,7 +87,7 @@
 }
 
 void BackendProber::finishIfDone(const std::shared_ptr<ActiveProbe>& probe) {
-  const std::optional<core::ProbeResult> result = probe->trial.GetResult();
+  const std::optional<core::ProbeResult> result = probe->failureProbe.GetResult();
   if (!result || std::exchange(probe->finished, true)) {
     return;
   }
@@ -97,7 +97,7 @@
     socket.close(ignored);
   }
   if (*result == core::ProbeResult::kInconclusive) {
-    logInconclusiveProbe(probe->backend, probe->trial.GetInconclusiveReason());
+    logInconclusiveProbe(probe->backend, probe->failureProbe.GetInconclusiveReason());
   }
   handler_(probe->backend, *result);
 }
--- a/src/daemon/packet_port.cc
+++ b/src/daemon/packet_port.cc
@@ -81,7 +81,7 @@
   const net::ByteView packet = datagram.subspan(format_.prefixBytes());
   const std::optional<core::PacketSummary> summary = format_.read(packet);
   if (!summary) {
-    ++counters_.faults[static_cast<std::size_t>(format_.lastError())];
+    ++counters_.formatErrors[static_cast<std::size_t>(format_.lastError())];
     return;
   }
   const core::Verdict verdict = steering_.onPacket(*summary, now);
--- a/src/daemon/packet_port.h
+++ b/src/daemon/packet_port.h
@@ -23,7 +23,7 @@
   std::uint64_t refusalsSent = 0;
   std::uint64_t sendErrors = 0;
   std::uint64_t retried = 0;  ///< Packets reprocessed after the view changed.
-  std::array<std::uint64_t, net::kPacketFormatErrorCount> faults{};
+  std::array<std::uint64_t, net::kPacketFormatErrorCount> formatErrors{};
 };
 
 class PacketPort {
--- a/src/daemon/store_link.cc
+++ b/src/daemon/store_link.cc
@@ -5,9 +5,9 @@
 namespace cobaltgauge::daemon {
 
 StoreLink::StoreLink(asio::io_context& context, const core::Endpoint& store,
-                     const net::StoreProtocol& dialect, core::StoreReader& reader,
+                     const net::StoreProtocol& protocol, core::StoreReader& reader,
                      Listener listener)
-    : dialect_(dialect),
+    : protocol_(protocol),
       reader_(reader),
       listener_(std::move(listener)),
       client_(context, store),
@@ -31,7 +31,7 @@
     return;
   }
   const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(read->timeout);
-  client_.get(dialect_.target(*read), timeout,
+  client_.get(protocol_.target(*read), timeout,
               [this, request = *read, now](const net::HttpResult& response) {
                 onResponse(request, now, response);
               });
@@ -58,7 +58,7 @@
   reply.reason = response.reason;
   switch (response.failure) {
     case net::HttpFailure::kNone:
-      return dialect_.parse(response);
+      return protocol_.parse(response);
     case net::HttpFailure::kTimedOut:
       reply.outcome = core::ReadOutcome::kTimedOut;
       break;
--- a/src/daemon/store_link.h
+++ b/src/daemon/store_link.h
@@ -20,7 +20,7 @@
       std::function<void(const core::StoreRead&, const core::StoreReply&, core::Duration latency)>;
 
   StoreLink(asio::io_context& context, const core::Endpoint& store,
-            const net::StoreProtocol& dialect, core::StoreReader& reader, Listener listener);
+            const net::StoreProtocol& protocol, core::StoreReader& reader, Listener listener);
 
   /// Starts or schedules the next read. Must be called at startup and whenever the reader becomes
   /// active; subsequent reads are scheduled automatically while it is active.
@@ -34,7 +34,7 @@
   void onResponse(const core::StoreRead& read, core::Time sentAt, const net::HttpResult& response);
   core::StoreReply toReply(const net::HttpResult& response) const;
 
-  const net::StoreProtocol& dialect_;
+  const net::StoreProtocol& protocol_;
   core::StoreReader& reader_;
   Listener listener_;
   net::HttpClient client_;
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -115,9 +115,9 @@
             {"result", core::ToString(result)}});
 }
 
-void logInconclusiveProbe(const core::BackendAddress& backend, core::InconclusiveReason doubt) {
+void logInconclusiveProbe(const core::BackendAddress& backend, core::InconclusiveReason reason) {
   logEvent(LogLevel::kInfo, "probe_inconclusive",
-           {{"backend", hex(backend.id)}, {"reason", core::ToString(doubt)}});
+           {{"backend", hex(backend.id)}, {"reason", core::ToString(reason)}});
 }
 
 void logViewChange(const core::ViewChange& change, core::Duration viewAge) {
--- a/src/daemon/token_log.h
+++ b/src/daemon/token_log.h
@@ -22,7 +22,7 @@
 void logProbe(const core::BackendAddress& backend, core::ProbeResult result);
 
 /// Logs why a backend is not considered failed although it accepted no connection.
-void logInconclusiveProbe(const core::BackendAddress& backend, core::InconclusiveReason doubt);
+void logInconclusiveProbe(const core::BackendAddress& backend, core::InconclusiveReason reason);
 
 /// Logs the summary of backend changes that were not logged individually.
 void logChangeSummary(const ViewChangeLogger::Summary& summary);
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -81,7 +81,7 @@
        }},
       {"cobaltgauge_packet_faults_total", "Malformed datagrams", "reason", MetricType::Counter,
        [](const Sources& s) {
-         return byReason<net::PacketFormatError>(s.packets.counters().faults);
+         return byReason<net::PacketFormatError>(s.packets.counters().formatErrors);
        }},
       {"cobaltgauge_packets_retried_total", "Packets reprocessed after a change of the view",
        nullptr, MetricType::Counter,
--- a/tests/daemon/packet_port_test.cc
+++ b/tests/daemon/packet_port_test.cc
@@ -87,7 +87,7 @@
 BOOST_AUTO_TEST_CASE(malformed_packets_are_counted_by_reason) {
   sendToPort({1, 2, 3});
   const auto index = static_cast<std::size_t>(net::PacketFormatError::kShort);
-  BOOST_TEST(port.counters().faults[index] == 1U);
+  BOOST_TEST(port.counters().formatErrors[index] == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(pending_packets_are_bounded) {
--- a/tests/platform/packet_header_test.cc
+++ b/tests/platform/packet_header_test.cc
@@ -19,7 +19,7 @@
 struct HeaderFixture {
   platform::PacketHeader format;
 
-  PacketFormatError faultOf(const std::vector<std::uint8_t>& packet) {
+  PacketFormatError formatErrorOf(const std::vector<std::uint8_t>& packet) {
     BOOST_REQUIRE(!format.read(packet).has_value());
     return format.lastError();
   }
@@ -57,16 +57,16 @@
 BOOST_AUTO_TEST_CASE(rejects_malformed_packets) {
   std::vector<std::uint8_t> packet = opening();
   packet.pop_back();
-  BOOST_TEST((faultOf(packet) == PacketFormatError::kShort));
-  BOOST_TEST((faultOf({}) == PacketFormatError::kShort));
+  BOOST_TEST((formatErrorOf(packet) == PacketFormatError::kShort));
+  BOOST_TEST((formatErrorOf({}) == PacketFormatError::kShort));
   packet = opening();
   packet.push_back(0);
-  BOOST_TEST((faultOf(packet) == PacketFormatError::kWrongLength));
+  BOOST_TEST((formatErrorOf(packet) == PacketFormatError::kWrongLength));
   packet = opening();
   packet[4] = 0x80;
-  BOOST_TEST((faultOf(packet) == PacketFormatError::kUnknownFlag));
+  BOOST_TEST((formatErrorOf(packet) == PacketFormatError::kUnknownFlag));
   packet.resize(31 + 1201);
-  BOOST_TEST((faultOf(packet) == PacketFormatError::kLong));
+  BOOST_TEST((formatErrorOf(packet) == PacketFormatError::kLong));
 }
 
 BOOST_AUTO_TEST_CASE(stamp_writes_only_backend_id_and_token) {
