--- a/src/daemon/backend_prober.cc
+++ b/src/daemon/backend_prober.cc
@@ -16,9 +16,9 @@
   if (!error) {
     return core::ConnectOutcome::kConnected;
   }
-  const bool answered =
+  const bool refused =
       error == asio::error::connection_refused || error == asio::error::connection_reset;
-  return answered ? core::ConnectOutcome::kRefused : core::ConnectOutcome::kLocalError;
+  return refused ? core::ConnectOutcome::kRefused : core::ConnectOutcome::kLocalError;
 }
 
 }  // namespace
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -300,14 +300,14 @@
   if (read.kind == core::StoreRead::Kind::kList) {
     latencies_.onStoreReply(latency);
   }
-  const bool answered = reply.outcome == core::ReadOutcome::kAnswered ||
-                        reply.outcome == core::ReadOutcome::kHistoryGone;
-  if (answered == storeReachable_) {
+  const bool reachable = reply.outcome == core::ReadOutcome::kAnswered ||
+                         reply.outcome == core::ReadOutcome::kHistoryGone;
+  if (reachable == storeReachable_) {
     return;
   }
-  storeReachable_ = answered;
-  logEvent(answered ? LogLevel::kInfo : LogLevel::kWarning,
-           answered ? "store_regained" : "store_lost",
+  storeReachable_ = reachable;
+  logEvent(reachable ? LogLevel::kInfo : LogLevel::kWarning,
+           reachable ? "store_regained" : "store_lost",
            {{"read", read.kind == core::StoreRead::Kind::kList ? "list" : "watch"},
             {"outcome", toString(reply.outcome)},
             {"reason", reply.reason},
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -51,7 +51,7 @@
   void close();
 
   /// Sets the maximum time to connect and transfer one frame over TCP.
-  void setStreamTimeout(std::chrono::milliseconds longest) { streamTimeout_ = longest; }
+  void setStreamTimeout(std::chrono::milliseconds timeout) { streamTimeout_ = timeout; }
 
   const PeerTransportCounters& counters() const { return counters_; }
 
--- a/src/net/store_protocol.h
+++ b/src/net/store_protocol.h
@@ -21,7 +21,7 @@
 
   /// Parses a response received without failure. An invalid item becomes an UnreadableItem; an
   /// invalid response has the outcome kMalformed.
-  virtual core::StoreReply parse(const HttpResult& result) const = 0;
+  virtual core::StoreReply parse(const HttpResult& response) const = 0;
 };
 
 /// Packet format and store protocol of a platform.
