--- a/tests/platform/store_items_test.cc
+++ b/tests/platform/store_items_test.cc
@@ -108,7 +108,7 @@
   return encoded;
 }
 
-/// @return a server's entry as text, some of whose fields are replaced or left out (null).
+/// @return a server item as base64-encoded JSON; the given fields are replaced, or removed if null.
 std::string server(const nlohmann::json& changes) {
   nlohmann::json entry = {{"service", "web"}, {"address", "10.128.0.9:8080"},
                           {"zone", "a"},      {"version", "v1"},
@@ -127,7 +127,8 @@
 
 // Other writers put entries of any form there; none of them may name a target.
 BOOST_AUTO_TEST_CASE(invalid_server_fields_are_unreadable) {
-  BOOST_TEST(unreadableReason("servers/i-1f", server({{"zone", nullptr}})) == "no field 'zone'");
+  BOOST_TEST(unreadableReason("servers/i-1f", server({{"zone", nullptr}})) ==
+             "missing field 'zone'");
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"capacity", nullptr}})).empty());
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"capacity", -1}})).empty());
   BOOST_TEST(!unreadableReason("servers/i-1f", server({{"capacity", "two"}})).empty());
@@ -169,7 +170,7 @@
   BOOST_REQUIRE(reply.changes.size() == 1U);
   BOOST_TEST(reply.changes[0].key == "op/evacuate/hall-c");
   BOOST_TEST(std::get<core::ZoneEvacuation>(reply.changes[0].item).zone == "hall-c");
-  BOOST_TEST(unreadableReason("op/evacuate/", "e30=") == "an evacuation names no zone");
+  BOOST_TEST(unreadableReason("op/evacuate/", "e30=") == "evacuation without a zone name");
 }
 
 BOOST_AUTO_TEST_CASE(configuration_becomes_routes) {
@@ -193,8 +194,8 @@
 }
 
 BOOST_AUTO_TEST_CASE(unreadable_item_has_reason) {
-  BOOST_TEST(unreadableReason("servers/i-1", "???") == "value is no base64");
-  BOOST_TEST(unreadableReason("servers/i-xyz", kServer) == "id is no hexadecimal number");
+  BOOST_TEST(unreadableReason("servers/i-1", "???") == "value is not valid base64");
+  BOOST_TEST(unreadableReason("servers/i-xyz", kServer) == "id is not a hexadecimal number");
   BOOST_TEST(!unreadableReason("servers/i-1", "e30=").empty());
   BOOST_TEST(!unreadableReason("op/config", "e30=").empty());
   BOOST_TEST(!unreadableReason("op/config", "bm8=").empty());
@@ -227,7 +228,7 @@
     const core::StoreReply reply =
         items.parse({net::HttpFailure::kNone, 200, {{"store-era", era}}, R"({"items":[],"at":5})"});
     BOOST_TEST((reply.outcome == ReadOutcome::kMalformed));
-    BOOST_TEST(reply.reason == "era '" + era + "' is no number");
+    BOOST_TEST(reply.reason == "era '" + era + "' is not a number");
   }
 }
 
