--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -44,16 +44,17 @@
        [](const MetricSources& s) {
          return byReason<core::RouteReason>(s.balancer.counters().routed);
        }},
-      {"cobaltgauge_packets_dropped_total", "Packets dropped by the balancer core", "reason",
+      {"cobaltgauge_packets_dropped_total", "Packets dropped, by reason", "reason",
        MetricType::Counter,
        [](const MetricSources& s) {
          return byReason<core::DropReason>(s.balancer.counters().dropped);
        }},
-      {"cobaltgauge_packets_refused_total", "Packets rejected", "reason", MetricType::Counter,
+      {"cobaltgauge_packets_refused_total", "Packets refused, by reason", "reason",
+       MetricType::Counter,
        [](const MetricSources& s) {
          return byReason<core::RefuseReason>(s.balancer.counters().refused);
        }},
-      {"cobaltgauge_refusals_sent_total", "Rejections sent to clients", nullptr,
+      {"cobaltgauge_refusals_sent_total", "Refusals and resets sent to clients", nullptr,
        MetricType::Counter,
        [](const MetricSources& s) { return single(s.data.counters().refusalsSent); }},
       {"cobaltgauge_geneve_errors_total", "Datagrams that are not valid Geneve packets", "reason",
@@ -96,7 +97,7 @@
       {"cobaltgauge_hints_sent_total", "Route hints sent to ingress daemons", nullptr,
        MetricType::Counter,
        [](const MetricSources& s) { return single(s.balancer.counters().hintsSent); }},
-      {"cobaltgauge_flow_evictions_total", "Live flows evicted from the flow table", nullptr,
+      {"cobaltgauge_flow_evictions_total", "Open flows evicted from the flow table", nullptr,
        MetricType::Counter,
        [](const MetricSources& s) { return single(s.balancer.flows().evictions()); }},
       {"cobaltgauge_suspensions_total", "Detected suspensions of this process", nullptr,
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -378,7 +378,7 @@
            {{"cause", cause},
             {"applied", joinNames(change->applied)},
             {"needs_restart", joinNames(change->needsRestart)},
-            {"policy", policyApplied ? "taken" : lastReason_}});
+            {"policy", policyApplied ? "applied" : lastReason_}});
 }
 
 void TokenDaemon::stopIfDone(core::Time now) {
