--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -300,14 +300,14 @@
   if (read.kind == core::StoreRead::Kind::kList) {
     latencies_.onStoreReply(latency);
   }
-  const bool answered = reply.outcome == core::ReadOutcome::kAnswered ||
-                        reply.outcome == core::ReadOutcome::kHistoryGone;
-  if (answered == storeReachable_) {
+  const bool reachable = reply.outcome == core::ReadOutcome::kAnswered ||
+                         reply.outcome == core::ReadOutcome::kHistoryGone;
+  if (reachable == storeReachable_) {
     return;
   }
-  storeReachable_ = answered;
-  logEvent(answered ? LogLevel::kInfo : LogLevel::kWarning,
-           answered ? "store_regained" : "store_lost",
+  storeReachable_ = reachable;
+  logEvent(reachable ? LogLevel::kInfo : LogLevel::kWarning,
+           reachable ? "store_regained" : "store_lost",
            {{"read", read.kind == core::StoreRead::Kind::kList ? "list" : "watch"},
             {"outcome", toString(reply.outcome)},
             {"reason", reply.reason},
@@ -378,7 +378,7 @@
            {{"cause", cause},
             {"applied", joinNames(change->applied)},
             {"needs_restart", joinNames(change->needsRestart)},
-            {"policy", policyApplied ? "taken" : lastReason_}});
+            {"policy", policyApplied ? "applied" : lastReason_}});
 }
 
 void TokenDaemon::stopIfDone(core::Time now) {
