--- a/src/core/backend_candidates.cc
+++ b/src/core/backend_candidates.cc
@@ -89,8 +89,8 @@
   return slots;
 }
 
-std::vector<PlacementCandidate> BackendRegistry::vanishedSince(ServiceId service,
-                                                               Time since) const {
+std::vector<PlacementCandidate> BackendRegistry::unannouncedRemovalsSince(ServiceId service,
+                                                                          Time since) const {
   std::vector<PlacementCandidate> vanished;
   const auto departures = departures_.find(service);
   if (departures == departures_.end()) {
@@ -101,26 +101,26 @@
     const auto entry = entries_.find(item->second);
     // A backend that returned and departed again counts by its last departure.
     const bool isLast = entry != entries_.end() && entry->second.removedAt == item->first;
-    if (isLast && hasVanished(entry->second, since)) {
+    if (isLast && wasRemovedUnannounced(entry->second, since)) {
       vanished.push_back(candidateOf(entry->second));
     }
   }
   return vanished;
 }
 
-bool BackendRegistry::hasVanished(const Entry& entry, Time since) const {
+bool BackendRegistry::wasRemovedUnannounced(const Entry& entry, Time since) const {
   const bool unannounced = entry.registration.state == BackendState::kActive;
   return !entry.present && !entry.superseded && unannounced && entry.removedAt > since &&
          !evacuations_.IsEvacuated(entry.registration.zone);
 }
 
-bool BackendRegistry::hasVanishedSince(BackendId id, Time since) const {
+bool BackendRegistry::wasRemovedUnannouncedSince(BackendId id, Time since) const {
   const auto key = keys_.find(id);
-  return key != keys_.end() && hasVanished(entries_.at(key->second), since);
+  return key != keys_.end() && wasRemovedUnannounced(entries_.at(key->second), since);
 }
 
 std::vector<PlacementCandidate> BackendRegistry::expiredSince(ServiceId service, Time since) {
-  std::vector<PlacementCandidate> vanished = vanishedSince(service, since);
+  std::vector<PlacementCandidate> vanished = unannouncedRemovalsSince(service, since);
   const std::size_t all = vanished.size() + candidates(service).size();
   const bool isMassExpiry = vanished.size() > 1 && vanished.size() * kMassExpiryRatio > all;
   return isMassExpiry ? vanished : std::vector<PlacementCandidate>{};
--- a/src/core/backend_directory.cc
+++ b/src/core/backend_directory.cc
@@ -18,13 +18,13 @@
       entry.removedAt = now;
     }
     entry.configured = false;
-    entry.leaving = true;
+    entry.draining = true;
   }
   owners_.clear();
   for (const Service& service : configuration.services) {
     for (const Backend& backend : service.backends) {
-      const bool leaving = backend.state == BackendState::kDraining;
-      entries_[backend.address.id] = Entry{backend.address, true, leaving, now};
+      const bool draining = backend.state == BackendState::kDraining;
+      entries_[backend.address.id] = Entry{backend.address, true, draining, now};
       owners_[endpointHash(backend.address.endpoint)] = backend.address.id;
     }
   }
@@ -58,9 +58,9 @@
   return it == entries_.end() ? nullptr : &it->second.address;
 }
 
-bool BackendDirectory::isLeaving(BackendId id) const {
+bool BackendDirectory::isDrainingOrUnlisted(BackendId id) const {
   const auto it = entries_.find(id);
-  return it == entries_.end() || it->second.leaving;
+  return it == entries_.end() || it->second.draining;
 }
 
 std::vector<BackendId> BackendDirectory::removeExpired(Time now, Duration keep) {
--- a/src/core/backend_directory.h
+++ b/src/core/backend_directory.h
@@ -25,8 +25,8 @@
   /// @return the address of the backend, or null if it is unknown or its endpoint was reassigned.
   const BackendAddress* find(BackendId id) const;
 
-  /// @return true if the configuration lists the backend as leaving or does not list it.
-  bool isLeaving(BackendId id) const;
+  /// @return true if the configuration lists the backend as draining or does not list it.
+  bool isDrainingOrUnlisted(BackendId id) const;
 
   /// Removes backends that left the configuration more than `keep` ago.
   /// @return the removed backends.
@@ -36,7 +36,7 @@
   struct Entry {
     BackendAddress address;
     bool configured = false;
-    bool leaving = true;
+    bool draining = true;
     Time removedAt{};
   };
 
--- a/src/core/backend_health.cc
+++ b/src/core/backend_health.cc
@@ -24,7 +24,7 @@
   record.lastActivity = now;
   record.lastResponse = now;
   record.unansweredSince = Time{};
-  counters_.revived += record.dead ? 1U : 0U;
+  counters_.recovered += record.dead ? 1U : 0U;
   record.dead = false;
   pending_.erase(backend);
 }
@@ -84,7 +84,7 @@
   const bool respondedMeanwhile = record.unansweredSince == Time{} || !record.probeValid ||
                                   record.lastResponse >= record.probeStartedAt;
   if (result != ProbeResult::kTimedOut || respondedMeanwhile) {
-    counters_.unproven += result == ProbeResult::kInconclusive ? 1U : 0U;
+    counters_.inconclusive += result == ProbeResult::kInconclusive ? 1U : 0U;
     return false;
   }
   record.confirmedDeadAt = now;
--- a/src/core/backend_health.h
+++ b/src/core/backend_health.h
@@ -23,8 +23,8 @@
 struct BackendHealthCounters {
   std::uint64_t probes = 0;
   std::uint64_t declaredDead = 0;
-  std::uint64_t unproven = 0;  ///< Inconclusive probes.
-  std::uint64_t revived = 0;
+  std::uint64_t inconclusive = 0;  ///< Inconclusive probes.
+  std::uint64_t recovered = 0;
 };
 
 class BackendHealth {
--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -11,11 +11,11 @@
   switch (event) {
     case RegistryEvent::kAdded:
       return "added";
-    case RegistryEvent::kLeaving:
+    case RegistryEvent::kDraining:
       return "leaving";
     case RegistryEvent::kReturned:
       return "returned";
-    case RegistryEvent::kVanished:
+    case RegistryEvent::kRemoved:
       return "vanished";
     case RegistryEvent::kRestarted:
       return "restarted";
@@ -50,8 +50,8 @@
   if (registration.startedAtMs != known.startedAtMs || (!isOfLaterEra && !isSameRun)) {
     return false;
   }
-  if (registration.statement != 0 && known.statement != 0) {
-    return registration.statement < known.statement;
+  if (registration.updateSequence != 0 && known.updateSequence != 0) {
+    return registration.updateSequence < known.updateSequence;
   }
   // Without numbers, a draining backend is not reactivated by a restored store.
   const bool revertsShutdown =
@@ -84,7 +84,7 @@
   }
   const bool hasRestarted = startedBefore != 0 && registration.startedAtMs > startedBefore;
   const bool tookNewFlows = !isNew && takesNewFlows(known->second.address.id);
-  const bool leaving = registration.state == BackendState::kDraining;
+  const bool draining = registration.state == BackendState::kDraining;
   if (!isNew && (known->second.registration.service != registration.service ||
                  known->second.registration.endpoint != registration.endpoint)) {
     unlink(key, known->second);
@@ -102,7 +102,7 @@
   entry.present = true;
   entry.superseded = false;
   if (!sameContent) {
-    entry.warmUntil = now + registration.warmUpLeft;
+    entry.warmUntil = now + registration.remainingWarmUp;
     entry.weight = weights_.weightOf(registration);
   }
   zoneNames_.try_emplace(entry.address.zone, registration.zone);
@@ -120,10 +120,10 @@
     restarted_.push_back(registration.id);
     return RegistryEvent::kRestarted;
   }
-  if (tookNewFlows && leaving) {
-    return RegistryEvent::kLeaving;
+  if (tookNewFlows && draining) {
+    return RegistryEvent::kDraining;
   }
-  if (!tookNewFlows && !leaving) {
+  if (!tookNewFlows && !draining) {
     return RegistryEvent::kReturned;
   }
   return sameContent ? RegistryEvent::kRefreshed : RegistryEvent::kChanged;
@@ -179,7 +179,7 @@
     return RegistryEvent::kNone;
   }
   markDeparted(key, entry, now);
-  return RegistryEvent::kVanished;
+  return RegistryEvent::kRemoved;
 }
 
 void BackendRegistry::markDeparted(const std::string& key, Entry& entry, Time now) {
@@ -306,7 +306,7 @@
   candidates_.clear();
 }
 
-void BackendRegistry::forget(const std::string& key, const Entry& entry) {
+void BackendRegistry::unindex(const std::string& key, const Entry& entry) {
   tokens_.RemoveBackend(entry.address.id);
   keys_.erase(entry.address.id);
   unlink(key, entry);
@@ -324,7 +324,7 @@
       continue;
     }
     discardedRevision_ = std::max(discardedRevision_, entry.revision);
-    forget(item->first, entry);
+    unindex(item->first, entry);
     item = entries_.erase(item);
   }
   std::erase_if(unknownRemovals_, [this, now](const auto& item) {
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -27,9 +27,9 @@
 /// The effect of an item on a backend; for logs.
 enum class RegistryEvent : std::uint8_t {
   kAdded,
-  kLeaving,    ///< Announced its shutdown.
+  kDraining,   ///< Announced its shutdown.
   kReturned,   ///< Active again after draining or removal.
-  kVanished,   ///< Its item was removed.
+  kRemoved,    ///< Its item was removed.
   kRestarted,  ///< Restarted under the same id, without its previous state.
   kChanged,    ///< Another field changed.
   kRefreshed,  ///< Applied without a change of content.
@@ -133,13 +133,13 @@
 
   /// @return backends of a service that were removed after `since` without announcing their
   /// shutdown.
-  std::vector<PlacementCandidate> vanishedSince(ServiceId service, Time since) const;
+  std::vector<PlacementCandidate> unannouncedRemovalsSince(ServiceId service, Time since) const;
 
   /// @return the same if they are more than one in kMassExpiryRatio of the service, else none: so
   /// many at once indicate expired registrations rather than failed backends.
   std::vector<PlacementCandidate> expiredSince(ServiceId service, Time since);
   /// @return true if the backend was removed after `since` without announcing its shutdown.
-  bool hasVanishedSince(BackendId id, Time since) const;
+  bool wasRemovedUnannouncedSince(BackendId id, Time since) const;
 
   /// Discards removed backends and lost evacuations after their retention time.
   void discardDeparted(Time now);
@@ -186,7 +186,7 @@
   static bool isOlderUpdate(const Entry& entry, const Registration& registration,
                             Revision revision);
   PlacementCandidate candidateOf(const Entry& entry) const;
-  bool hasVanished(const Entry& entry, Time since) const;
+  bool wasRemovedUnannounced(const Entry& entry, Time since) const;
   /// @return true if the backend would get new flows if its zone were not evacuated.
   bool isServing(const Entry& entry) const;
   bool isCandidate(const Entry& entry) const;
@@ -203,7 +203,7 @@
   const CandidateList& candidateList(ServiceId service);
   /// Updates a cached candidate list after a change of an entry.
   void refreshCandidate(const Entry& entry);
-  void forget(const std::string& key, const Entry& entry);
+  void unindex(const std::string& key, const Entry& entry);
 
   Duration retention_;
   PlacementWeights& weights_;
--- a/src/core/balancer.cc
+++ b/src/core/balancer.cc
@@ -254,14 +254,14 @@
   }
 }
 
-void Balancer::beginLeaving(Time now) {
+void Balancer::beginShutdown(Time now) {
   leaving_ = true;
   membership_.announce(MemberState::kLeaving, now);
   applyMembershipChanges(now);
   membership_.probeRandomPeers(kUpdateFanout);
 }
 
-void Balancer::finishLeaving(Time now) {
+void Balancer::finishShutdown(Time now) {
   membership_.announce(MemberState::kLeft, now);
   membership_.probeRandomPeers(kUpdateFanout);
 }
--- a/src/core/balancer.h
+++ b/src/core/balancer.h
@@ -45,7 +45,7 @@
 struct PeerArrival {
   MemberId ingress = kNoMember;  ///< The daemon that first received the packet.
   std::uint8_t hops = 0;         ///< Hops between daemons so far, at least one.
-  bool wantsListing = false;     ///< The ingress daemon has no listing of the shard.
+  bool needsListing = false;     ///< The ingress daemon has no listing of the shard.
 };
 
 /// Counters of a Balancer; see docs/METRICS.md.
@@ -97,11 +97,11 @@
   bool shouldReadPlatform(Time now) const;
 
   /// Begins a planned stop: hands over the owned shards and continues to forward.
-  void beginLeaving(Time now);
+  void beginShutdown(Time now);
   /// @return true if all handed-over records are acknowledged.
   bool handoverDone() const { return leaving_ && outbox_.unacknowledged() == 0; }
   /// Announces to the peers that this daemon has left; sends its last messages.
-  void finishLeaving(Time now);
+  void finishShutdown(Time now);
 
   std::vector<OutgoingMessage> takeMessages() { return outbox_.take(); }
 
--- a/src/core/balancer_routing.cc
+++ b/src/core/balancer_routing.cc
@@ -60,7 +60,7 @@
       arrival,     now};
   const std::optional<BackendId> known = flows_.touch(fingerprint, now);
   const bool reopened =
-      packet.kind == PacketKind::kOpening && known && directory_.isLeaving(*known);
+      packet.kind == PacketKind::kOpening && known && directory_.isDrainingOrUnlisted(*known);
   if (known && !reopened && directory_.find(*known) != nullptr) {
     return forward(context, *known, RouteReason::kKnownFlow);
   }
@@ -97,10 +97,10 @@
   }
   const auto hops = static_cast<std::uint8_t>(context.arrival.hops + 1);
   const bool isIngress = context.arrival.hops == 0;
-  const bool wantsListing =
+  const bool needsListing =
       isIngress ? !context.placement.isListed(context.bucket) && !context.placement.isTracked()
-                : context.arrival.wantsListing;
-  return ForwardToPeer{peer, member->identity.control, hops, wantsListing};
+                : context.arrival.needsListing;
+  return ForwardToPeer{peer, member->identity.control, hops, needsListing};
 }
 
 Verdict Balancer::decideAsHome(const Context& context) {
@@ -137,8 +137,8 @@
 Verdict Balancer::decideAfterListing(const Context& context) {
   if (isPartitioned(context)) {
     // A partition may last: refuse with a retry delay instead of dropping the packet.
-    return Refuse{context.service.refusal, RefusalCertainty::kOutcomeUnknown, RefuseReason::kCutOff,
-                  kPartitionRetryAfter};
+    return Refuse{context.service.refusal, RefusalCertainty::kOutcomeUnknown,
+                  RefuseReason::kPartitioned, kPartitionRetryAfter};
   }
   if (lacksRecentRecords(context)) {
     return Drop{DropReason::kHomeSyncing};
@@ -146,7 +146,7 @@
   // While a zone is unreachable, the flow may be known only to that zone. A new flow may also use
   // the old backend unless that backend is draining.
   const BackendId old = context.placement.partitionedBackend(context.bucket);
-  const bool canBeOld = old != kNoBackend && !directory_.isLeaving(old) &&
+  const bool canBeOld = old != kNoBackend && !directory_.isDrainingOrUnlisted(old) &&
                         context.packet.kind != PacketKind::kOpening;
   return canBeOld ? forwardToOldBackend(context, old)
                   : startFlow(context, RouteReason::kHomeNewFlow);
@@ -255,7 +255,7 @@
     // iteration over all records.
     hint.dirty = shard.dirtyBuckets();
     const bool hasPartitionedBuckets = addPartitionedBuckets(context, hint.dirty);
-    hint.shardIsListed = !hasPartitionedBuckets && context.arrival.wantsListing;
+    hint.shardIsListed = !hasPartitionedBuckets && context.arrival.needsListing;
   }
   if (hint.shardIsListed) {
     hint.listing = shard.listing();
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -103,7 +103,7 @@
 /// How long a backend that vanished without announcing it may still receive flows, if its service
 /// has no other backend or many vanished together. Their registrations may have expired while the
 /// store was unavailable.
-inline constexpr Duration kVanishedBackendGracePeriod = 2000ms;
+inline constexpr Duration kUnannouncedRemovalGracePeriod = 2000ms;
 
 /// Maximum time for which the store may hold a watch. A response without changes confirms that the
 /// view is current.
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -53,8 +53,8 @@
     return ScoredBackend{};
   }
   for (const ServiceId service : services) {
-    const Candidates vanished = this->Inputs.Backends.vanishedSince(
-      service, now - kVanishedBackendGracePeriod);
+    const Candidates vanished = this->Inputs.Backends.unannouncedRemovalsSince(
+      service, now - kUnannouncedRemovalGracePeriod);
     const ScoredBackend best =
       this->ChooseAllowed(vanished, route, avoided, now);
     if (best.Id != kNoBackend) {
@@ -72,9 +72,9 @@
 {
   const Candidates& registered = this->Inputs.Backends.candidates(service);
   // Use all regions, as routes with different regions share the statistics.
-  this->Inputs.Spill.Update(registered, now);
+  this->Inputs.Spillover.Update(registered, now);
   Candidates all = this->Inputs.Backends.expiredSince(
-    service, now - kVanishedBackendGracePeriod);
+    service, now - kUnannouncedRemovalGracePeriod);
   if (all.empty()) {
     return this->ChooseAllowed(registered, route, avoided, now);
   }
@@ -114,10 +114,10 @@
   }
   const ScoredBackend first =
     this->ChooseOutsideZones(candidates, nullptr, avoided, now);
-  return this->Spill(first, candidates, avoided, now);
+  return this->SpillOver(first, candidates, avoided, now);
 }
 
-BackendChooser::ScoredBackend BackendChooser::Spill(
+BackendChooser::ScoredBackend BackendChooser::SpillOver(
   const ScoredBackend& first,
   const Candidates& candidates,
   BackendId avoided,
@@ -138,7 +138,7 @@
     }
   }
   if (!overloadedZones.empty()) {
-    this->Inputs.Spill.OnSpilled();
+    this->Inputs.Spillover.OnSpilled();
     this->Result.Spilled = true;
   }
   return chosen;
@@ -150,7 +150,7 @@
     return true;
   }
   const double localShare =
-    this->Inputs.Spill.GetLocalShare(scored.Service, scored.Zone);
+    this->Inputs.Spillover.GetLocalShare(scored.Service, scored.Zone);
   return localShare >= 1 ||
     static_cast<double>(this->Inputs.RandomSource.below(kShareResolution)) <
     localShare * static_cast<double>(kShareResolution);
@@ -180,7 +180,7 @@
   return now >= candidate.warmUntil &&
     std::find(excludedZones.begin(), excludedZones.end(), candidate.zone) ==
     excludedZones.end() &&
-    this->Inputs.Spill.AcceptsSpillover(candidate.service, candidate.zone);
+    this->Inputs.Spillover.AcceptsSpillover(candidate.service, candidate.zone);
 }
 
 BackendChooser::ScoredBackend BackendChooser::ChooseBest(
@@ -243,7 +243,7 @@
   scored.Slow = slowness > 1.0;
   scored.WarmUpLimited = warmUpRate > 0;
   scored.WarmUpExhausted = scored.WarmUpLimited &&
-    !this->Inputs.WarmUps.MayOpen(candidate.id, warmUpRate, now);
+    !this->Inputs.WarmUps.AllowsOpening(candidate.id, warmUpRate, now);
   scored.Load = flows * factor /
     (double{ 1 } * candidate.capacity * std::max(candidate.weight, 1U));
   return scored;
--- a/src/core/placement/backend_chooser.h
+++ b/src/core/placement/backend_chooser.h
@@ -42,7 +42,7 @@
   const WarmUpBudget& WarmUps;
   const ResponseTimeTracker& ResponseTimes;
   Random& RandomSource;
-  ZoneSpillover& Spill;
+  ZoneSpillover& Spillover;
 };
 
 /** \class BackendChooser
@@ -102,10 +102,10 @@
                             BackendId avoided,
                             Time now);
   /// Replace a choice by one from another zone if its zone is overloaded.
-  ScoredBackend Spill(const ScoredBackend& first,
-                      const Candidates& candidates,
-                      BackendId avoided,
-                      Time now);
+  ScoredBackend SpillOver(const ScoredBackend& first,
+                          const Candidates& candidates,
+                          BackendId avoided,
+                          Time now);
   bool StaysInZone(const ScoredBackend& scored);
   /// \param excludedZones null for a choice among all candidates; otherwise
   /// candidates in these zones, and those warming up, are skipped.
--- a/src/core/registration.cc
+++ b/src/core/registration.cc
@@ -3,9 +3,9 @@
 namespace cobaltgauge::core {
 
 bool Registration::hasSameContentAs(const Registration& other) const {
-  Registration withSameStatement = other;
-  withSameStatement.statement = statement;
-  return *this == withSameStatement;
+  Registration withSameSequence = other;
+  withSameSequence.updateSequence = updateSequence;
+  return *this == withSameSequence;
 }
 
 }  // namespace cobaltgauge::core
--- a/src/core/registration.h
+++ b/src/core/registration.h
@@ -25,13 +25,13 @@
   std::string softwareVersion;
   std::uint32_t capacity = 1;  ///< Concurrent requests.
   BackendState state = BackendState::kActive;
-  std::chrono::milliseconds warmUpLeft{0};  ///< Remaining warm-up time as of `revision`.
-  std::uint64_t startedAtMs = 0;            ///< Unix time of its start; zero: not reported.
+  std::chrono::milliseconds remainingWarmUp{0};  ///< Remaining warm-up time as of `revision`.
+  std::uint64_t startedAtMs = 0;                 ///< Unix time of its start; zero: not reported.
   /// Increases with every registration update of an incarnation; zero: not reported.
-  std::uint64_t statement = 0;
+  std::uint64_t updateSequence = 0;
 
   bool operator==(const Registration&) const = default;
-  /// @return true if the registrations are equal except for `statement`.
+  /// @return true if the registrations are equal except for `updateSequence`.
   bool hasSameContentAs(const Registration& other) const;
 };
 
--- a/src/core/relay/peer_clocks.h
+++ b/src/core/relay/peer_clocks.h
@@ -37,7 +37,7 @@
                                   std::uint64_t timeUs,
                                   Time now) const;
 
-  void Forget(const Endpoint& peer) { this->Offsets.erase(peer); }
+  void Remove(const Endpoint& peer) { this->Offsets.erase(peer); }
 
   /// Remove offsets that were not updated for kClockOffsetTtl.
   void Expire(Time now);
--- a/src/core/relay/view_relay_updates.cc
+++ b/src/core/relay/view_relay_updates.cc
@@ -19,7 +19,7 @@
 UpdateOutcome ViewRelay::OnUpdate(const ViewUpdate& update, Time now)
 {
   if (update.leaving) {
-    this->Clocks.Forget(update.sender);
+    this->Clocks.Remove(update.sender);
     if (this->Upstream == update.sender) {
       this->StopFollowing();
     }
--- a/src/core/token_failure_domains.cc
+++ b/src/core/token_failure_domains.cc
@@ -57,20 +57,20 @@
     serving_.OnAnswer(now);
     updateReachability();
   }
-  if (silentGroups_.IsEmpty()) {
+  if (unreachableGroups_.IsEmpty()) {
     return;
   }
   if (const PlacementCandidate* candidate = backends_.findCandidate(backend)) {
-    silentGroups_.OnAnswer(backend, {candidate->service, candidate->zone}, now);
+    unreachableGroups_.OnAnswer(backend, {candidate->service, candidate->zone}, now);
   }
 }
 
 std::vector<BackendAddress> TokenSteering::takeGroupProbes(Time now) {
   std::vector<BackendAddress> probes;
-  if (silentGroups_.IsEmpty()) {
+  if (unreachableGroups_.IsEmpty()) {
     return probes;
   }
-  for (const GroupProbeRequest& due : silentGroups_.TakeProbes(now)) {
+  for (const GroupProbeRequest& due : unreachableGroups_.TakeProbes(now)) {
     std::vector<BackendId> members = groupMembers(due.Group);
     for (std::size_t count = 0; count < due.Count && !members.empty(); ++count) {
       std::swap(members[random_.below(members.size())], members.back());
@@ -85,7 +85,7 @@
   const std::size_t count = std::min(notice.Groups.size(), kMaxGroupsPerNotice);
   for (std::size_t index = 0; index < count; ++index) {
     if (!groupMembers(notice.Groups[index]).empty()) {
-      silentGroups_.OnNotice(notice.Groups[index], now);
+      unreachableGroups_.OnNotice(notice.Groups[index], now);
     }
   }
 }
@@ -96,8 +96,8 @@
     return;
   }
   const BackendGroup group{candidate->service, candidate->zone};
-  if (silentGroups_.OnProbe(backend, group, result, now)) {
-    silentGroups_.MarkUnreachable(group, groupMembers(group), now);
+  if (unreachableGroups_.OnProbe(backend, group, result, now)) {
+    unreachableGroups_.MarkUnreachable(group, groupMembers(group), now);
   }
 }
 
--- a/src/core/token_openings.cc
+++ b/src/core/token_openings.cc
@@ -36,7 +36,7 @@
   outcomes_.OnRetransmission(flow->fingerprint, now);
   const bool takesFlows =
       backends_.takesNewFlows(flow->backend) ||
-      backends_.hasVanishedSince(flow->backend, now - kVanishedBackendGracePeriod);
+      backends_.wasRemovedUnannouncedSince(flow->backend, now - kUnannouncedRemovalGracePeriod);
   if (health_.isSuspected(flow->backend, now) || !takesFlows) {
     const BackendId previous = flow->backend;
     return placeOpening(packet, *route, RouteReason::kReplaced, previous, now);
@@ -58,7 +58,7 @@
 Verdict TokenSteering::placeOpening(const PacketSummary& packet, RouteEntry& route,
                                     RouteReason reason, BackendId avoided, Time now) {
   if (!admitOpening(packet, route.route, reason, now)) {
-    return refuse(RefuseReason::kNoRoom, RefusalCertainty::kNotRun);
+    return refuse(RefuseReason::kOverloaded, RefusalCertainty::kNotRun);
   }
   const PlacementChoice choice = chooser_.Choose(route, avoided, now);
   decision_.candidates = choice.Candidates;
@@ -104,7 +104,7 @@
   const bool admitted = admission_->Admit(route, now, viewCurrent_ && viewCoversAllBackends_);
   for (const RouteTarget& target : route.targets) {
     const ServiceId service = serviceIdOf(target.service);
-    spill_.SetLimited(service, admission_->IsLimited(service));
+    spillover_.SetLimited(service, admission_->IsLimited(service));
   }
   return admitted;
 }
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -14,7 +14,7 @@
 
 constexpr Duration kMaintenanceInterval = 1s;
 
-std::unique_ptr<TokenResolver> makeReach(const TokenSteeringOptions& options) {
+std::unique_ptr<TokenResolver> makeTokenResolver(const TokenSteeringOptions& options) {
   if (!options.localAddress) {
     return nullptr;
   }
@@ -28,15 +28,16 @@
                              Random& random)
     : options_(options),
       random_(random),
-      reach_(makeReach(options)),
-      backends_(options.longestFlow, weights, reach_.get()),
+      tokenResolver_(makeTokenResolver(options)),
+      backends_(options.longestFlow, weights, tokenResolver_.get()),
       routes_(random.below(UINT64_MAX)),
       flows_(options.flowEntries),
       warmUpBudget_(options.daemonId),
-      chooser_({backends_, routes_, flows_, pacer_, warmUpBudget_, answerTimes_, random, spill_}) {
+      chooser_(
+          {backends_, routes_, flows_, pacer_, warmUpBudget_, responseTimes_, random, spillover_}) {
   chooser_.AddDemotion(suspectDemotion_);
   chooser_.AddDemotion(outlierDemotion_);
-  chooser_.AddDemotion(silentGroups_);
+  chooser_.AddDemotion(unreachableGroups_);
 }
 
 Verdict TokenSteering::onPacket(const PacketSummary& packet, Time now) {
@@ -66,7 +67,8 @@
 }
 
 Verdict TokenSteering::steerUnknownBackend(const PacketSummary& packet) {
-  const std::optional<Endpoint> endpoint = reach_ ? reach_->Resolve(packet.token) : std::nullopt;
+  const std::optional<Endpoint> endpoint =
+      tokenResolver_ ? tokenResolver_->Resolve(packet.token) : std::nullopt;
   if (!endpoint) {
     return Drop{DropReason::kUnknownToken};
   }
@@ -74,11 +76,11 @@
   // flow resets it, which is correct because the original backend has ended.
   BackendAddress backend;
   backend.endpoint = *endpoint;
-  return ForwardToBackend{backend, routes_.version(), RouteReason::kReached, packet.token};
+  return ForwardToBackend{backend, routes_.version(), RouteReason::kResolvedToken, packet.token};
 }
 
 std::optional<std::uint16_t> TokenSteering::takeDiscoveredPort() {
-  return reach_ ? reach_->TakeFoundPort() : std::nullopt;
+  return tokenResolver_ ? tokenResolver_->TakeFoundPort() : std::nullopt;
 }
 
 void TokenSteering::observePacket(const PacketSummary& packet, const BackendAddress& backend,
@@ -124,7 +126,7 @@
     latencyObserver_->onDataAcknowledged(now - flow.dataSentAt);
   }
   if (!flow.dataAcknowledged) {
-    answerTimes_.OnResponse(backend.id, backend.service, now - flow.dataSentAt, now);
+    responseTimes_.OnResponse(backend.id, backend.service, now - flow.dataSentAt, now);
   }
   if (load_ != nullptr && (!flow.responded || !flow.dataAcknowledged)) {
     load_->OnResponse(flow.fingerprint, now);
@@ -184,7 +186,7 @@
 void TokenSteering::onResume() {
   serving_.OnResume();
   updateReachability();
-  silentGroups_.OnResume();
+  unreachableGroups_.OnResume();
   deadlines_.Clear();
   outcomes_.Clear();
   openingsAreStale_ = true;
@@ -257,7 +259,7 @@
 void TokenSteering::discardRestartedBackends() {
   for (const BackendId id : backends_.takeRestarted()) {
     health_.remove(id);
-    answerTimes_.Remove(id);
+    responseTimes_.Remove(id);
     if (outliers_ != nullptr) {
       outliers_->Remove(id);
     }
@@ -278,8 +280,8 @@
   health_.expire(now);
   pacer_.expire(now);
   warmUpBudget_.Expire(now);
-  silentGroups_.Expire(now);
-  answerTimes_.Expire(now);
+  unreachableGroups_.Expire(now);
+  responseTimes_.Expire(now);
   if (admission_ != nullptr) {
     admission_->Expire(now);
   }
--- a/src/core/token_steering.h
+++ b/src/core/token_steering.h
@@ -120,8 +120,8 @@
   void onGroupProbe(BackendId backend, ProbeResult result, Time now);
   /// Processes a notice of another daemon about unreachable groups.
   void onGroupNotice(const UnreachableGroupsNotice& notice, Time now);
-  UnreachableGroups& silentGroups() { return silentGroups_; }
-  const UnreachableGroups& silentGroups() const { return silentGroups_; }
+  UnreachableGroups& unreachableGroups() { return unreachableGroups_; }
+  const UnreachableGroups& unreachableGroups() const { return unreachableGroups_; }
   ServingReadiness& serving() { return serving_; }
   const ServingReadiness& serving() const { return serving_; }
   /// @return addresses to connect to in addition to the probed backend, for comparison.
@@ -134,8 +134,8 @@
   }
   /// Decides which connection attempts leave a zone for lack of capacity. The caller adds the
   /// sources of load statistics.
-  ZoneSpillover& spill() { return spill_; }
-  const ZoneSpillover& spill() const { return spill_; }
+  ZoneSpillover& spillover() { return spillover_; }
+  const ZoneSpillover& spillover() const { return spillover_; }
   /// Adds a rule that deprioritizes backends for new flows; must outlive this object.
   void addDemotion(Demotion& demotion) { chooser_.AddDemotion(demotion); }
 
@@ -211,14 +211,14 @@
 
   TokenSteeringOptions options_;
   Random& random_;
-  std::unique_ptr<TokenResolver> reach_;  ///< Null if tokens are hashes.
+  std::unique_ptr<TokenResolver> tokenResolver_;  ///< Null if tokens are hashes.
   BackendRegistry backends_;
   RouteTable routes_;
   TokenFlows flows_;
   BackendHealth health_;
   ServingReadiness serving_;
   bool wasServing_ = true;
-  UnreachableGroups silentGroups_;
+  UnreachableGroups unreachableGroups_;
   OpeningPacer pacer_;
   WarmUpBudget warmUpBudget_;
   std::unordered_map<Endpoint, Time, EndpointHash>
@@ -231,10 +231,10 @@
   ResponseDeadlines deadlines_;
   OpeningTracker outcomes_;
   LoadMeter* load_ = nullptr;
-  ResponseTimeTracker answerTimes_;
+  ResponseTimeTracker responseTimes_;
   SuspectDemotion suspectDemotion_{health_};
   OutlierDemotion outlierDemotion_;
-  ZoneSpillover spill_;
+  ZoneSpillover spillover_;
   BackendChooser chooser_;
   LatencyObserver* latencyObserver_ = nullptr;
   bool viewComplete_ = false;
--- a/src/core/verdict.cc
+++ b/src/core/verdict.cc
@@ -46,7 +46,7 @@
       return "repeated";
     case RouteReason::kReplaced:
       return "replaced";
-    case RouteReason::kReached:
+    case RouteReason::kResolvedToken:
       return "reached";
   }
   return "invalid";
@@ -86,7 +86,7 @@
       return "backend_limit";
     case RefuseReason::kNoBackend:
       return "no_backend";
-    case RefuseReason::kCutOff:
+    case RefuseReason::kPartitioned:
       return "cut_off";
     case RefuseReason::kNoRoute:
       return "no_route";
@@ -96,7 +96,7 @@
       return "backend_ended";
     case RefuseReason::kEvacuated:
       return "evacuated";
-    case RefuseReason::kNoRoom:
+    case RefuseReason::kOverloaded:
       return "no_room";
     case RefuseReason::kWarmingUp:
       return "warming_up";
--- a/src/core/verdict.h
+++ b/src/core/verdict.h
@@ -23,7 +23,7 @@
   kPlaced,         ///< The packet opens a flow; selected by weight and load.
   kRepeated,       ///< A retransmitted opening; sent to the same backend.
   kReplaced,       ///< A retransmitted opening; the first backend is suspected or leaving.
-  kReached,        ///< The backend is unknown; its address is in the token.
+  kResolvedToken,  ///< The backend is unknown; its address is in the token.
 };
 inline constexpr std::size_t kRouteReasons = 11;
 
@@ -47,14 +47,14 @@
   kNewFlowRate,   ///< The rate limit of new flows is exceeded.
   kBackendLimit,  ///< The flow limit of the backend is reached.
   kNoBackend,     ///< No backend accepts new flows.
-  kCutOff,        ///< A network partition may hide records of the flow.
+  kPartitioned,   ///< A network partition may hide records of the flow.
   kNoRoute,       ///< No current route has this address and port.
   kRouteDropped,  ///< The route of the flow was removed.
   kBackendEnded,  ///< The backend has ended; another one uses its address.
   kBackendDead,   ///< The backend was unresponsive and failed a probe.
   kEvacuated,     ///< Operators evacuated the zones of all backends.
   kWarmingUp,     ///< All backends are at their warm-up rate limits.
-  kNoRoom,        ///< Backends are overloaded; higher priorities are admitted.
+  kOverloaded,    ///< Backends are overloaded; higher priorities are admitted.
 };
 inline constexpr std::size_t kRefuseReasons = 11;
 
@@ -77,7 +77,7 @@
   MemberId peer = kNoMember;
   Endpoint destination;
   std::uint8_t hops = 0;      ///< Hop count after this forwarding.
-  bool wantsListing = false;  ///< The ingress daemon lacks the flow records of the shard.
+  bool needsListing = false;  ///< The ingress daemon lacks the flow records of the shard.
 };
 
 /// Refuse the packet with a response to the client.
--- a/src/core/view_conversion.cc
+++ b/src/core/view_conversion.cc
@@ -19,9 +19,9 @@
           registration.softwareVersion,
           registration.capacity,
           registration.state == BackendState::kDraining,
-          toMilliseconds(registration.warmUpLeft),
+          toMilliseconds(registration.remainingWarmUp),
           registration.startedAtMs,
-          registration.statement};
+          registration.updateSequence};
 }
 
 StoreChange toChange(const ViewBackend& backend) {
@@ -32,10 +32,10 @@
   registration.zone = backend.zone;
   registration.softwareVersion = backend.softwareVersion;
   registration.capacity = backend.capacity;
-  registration.state = backend.leaving ? BackendState::kDraining : BackendState::kActive;
-  registration.warmUpLeft = std::chrono::milliseconds(backend.warmUpLeftMs);
+  registration.state = backend.draining ? BackendState::kDraining : BackendState::kActive;
+  registration.remainingWarmUp = std::chrono::milliseconds(backend.remainingWarmUpMs);
   registration.startedAtMs = backend.startedAtMs;
-  registration.statement = backend.statement;
+  registration.updateSequence = backend.updateSequence;
   return {backend.key, backend.revision, registration};
 }
 
--- a/src/core/view_messages.h
+++ b/src/core/view_messages.h
@@ -29,10 +29,10 @@
   std::string zone;
   std::string softwareVersion;
   std::uint32_t capacity = 1;
-  bool leaving = false;
-  std::uint32_t warmUpLeftMs = 0;
+  bool draining = false;
+  std::uint32_t remainingWarmUpMs = 0;
   std::uint64_t startedAtMs = 0;
-  std::uint64_t statement = 0;
+  std::uint64_t updateSequence = 0;
 };
 
 /// One route of a view; `services` and `weights` are parallel arrays.
--- a/src/core/view_updater.cc
+++ b/src/core/view_updater.cc
@@ -171,7 +171,7 @@
   }
   for (const std::string& key : backends_.retainOnly(keys, listedAt, now)) {
     record({key, listedAt, RemovedItem{}});
-    reportBackend(key, listedAt, RegistryEvent::kVanished, "");
+    reportBackend(key, listedAt, RegistryEvent::kRemoved, "");
   }
   for (const std::string& key : backends_.retainEvacuations(keys, listedAt)) {
     record({key, listedAt, RemovedItem{}});
--- a/src/core/warmup/warm_up_budget.cc
+++ b/src/core/warmup/warm_up_budget.cc
@@ -27,7 +27,9 @@
   return static_cast<std::uint32_t>(wholeShare) + (roundsUp ? 1 : 0);
 }
 
-bool WarmUpBudget::MayOpen(BackendId backend, double perSecond, Time now) const
+bool WarmUpBudget::AllowsOpening(BackendId backend,
+                                 double perSecond,
+                                 Time now) const
 {
   const auto openings = this->Openings.find(backend);
   const auto recentOpenings = openings == this->Openings.end()
--- a/src/core/warmup/warm_up_budget.h
+++ b/src/core/warmup/warm_up_budget.h
@@ -35,7 +35,7 @@
   /// Returns whether a warming-up backend may get a connection attempt now.
   /// \param perSecond its rate limit for the whole fleet, in attempts per
   /// second.
-  bool MayOpen(BackendId backend, double perSecond, Time now) const;
+  bool AllowsOpening(BackendId backend, double perSecond, Time now) const;
 
   void OnOpening(BackendId backend, Time now);
 
--- a/src/daemon/backend_probes.cc
+++ b/src/daemon/backend_probes.cc
@@ -43,10 +43,10 @@
   for (const core::BackendAddress& backend : steering_.takeGroupProbes(now)) {
     groupProber_.probe(backend);
   }
-  const core::UnreachableGroupsNotice notice{steering_.silentGroups().TakeDetected()};
+  const core::UnreachableGroupsNotice notice{steering_.unreachableGroups().TakeDetected()};
   for (const core::BackendGroup& group : notice.Groups) {
-    logUnreachableGroup(group, steering_.silentGroups().CountUnreachable(now), steering_.backends(),
-                        reader_.revision());
+    logUnreachableGroup(group, steering_.unreachableGroups().CountUnreachable(now),
+                        steering_.backends(), reader_.revision());
   }
   peers_.SendNotice(notice);
   for (const core::ServingChange& change : steering_.serving().TakeChanges()) {
--- a/src/daemon/daemon.cc
+++ b/src/daemon/daemon.cc
@@ -180,7 +180,7 @@
   logEvent(LogLevel::kInfo, "planned_stop_began");
   leaving_ = true;
   leavingSince_ = bootTime();
-  balancer_->beginLeaving(leavingSince_);
+  balancer_->beginShutdown(leavingSince_);
   sendPendingMessages();
 }
 
@@ -192,7 +192,7 @@
     return;
   }
   leaving_ = false;
-  balancer_->finishLeaving(now);
+  balancer_->finishShutdown(now);
   sendPendingMessages();
   logEvent(LogLevel::kInfo, "planned_stop_ended");
   data_->close();
--- a/src/daemon/data_plane.cc
+++ b/src/daemon/data_plane.cc
@@ -96,7 +96,7 @@
     ++counters_.innerErrors[reader_.lastError()];
     return;
   }
-  const core::PeerArrival arrival{forwarded.ingress, forwarded.hops, forwarded.wantsListing};
+  const core::PeerArrival arrival{forwarded.ingress, forwarded.hops, forwarded.needsListing};
   applyVerdict(balancer_.onPeerPacket(*summary, arrival, now), forwarded.protocolType,
                forwarded.packet, forwarded.ingress);
 }
@@ -108,7 +108,7 @@
   } else if (const auto* peerForward = std::get_if<core::ForwardToPeer>(&verdict)) {
     ++counters_.packetsToPeers;
     peers_.send(peerForward->destination,
-                net::ForwardedPacket{ingress, peerForward->hops, peerForward->wantsListing,
+                net::ForwardedPacket{ingress, peerForward->hops, peerForward->needsListing,
                                      protocolType, net::Bytes(packet.begin(), packet.end())});
   } else if (const auto* refusal = std::get_if<core::Refuse>(&verdict)) {
     sendRefusal(*refusal, protocolType, packet);
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -116,8 +116,8 @@
     return zonesOf(steering_.backends(), service);
   });
   steering_.addOpeningListener(&localCapacity_);
-  steering_.spill().AddSource(peers_.GetLoad());
-  steering_.spill().AddSource(localCapacity_);
+  steering_.spillover().AddSource(peers_.GetLoad());
+  steering_.spillover().AddSource(localCapacity_);
   waitForSignal();
   logEvent(LogLevel::kInfo, "started",
            {{"zone", settings_.zone},
@@ -137,8 +137,8 @@
   admission_.SetOptions(settings_.admission);
   steering_.backends().setRegions(settings_.regionsOfZones);
   steering_.serving().SetRequired(settings_.requireReachableBackend);
-  steering_.silentGroups().SetEnabled(settings_.detectUnreachableGroups);
-  steering_.spill().SetEnabled(settings_.spillover);
+  steering_.unreachableGroups().SetEnabled(settings_.detectUnreachableGroups);
+  steering_.spillover().SetEnabled(settings_.spillover);
   peers_.SetSeeds(settings_);
   peers_.SetLoadReports(settings_.loadReports);
 }
@@ -262,7 +262,7 @@
     logAdmission(change);
   }
   probes_.executePending(now);
-  for (const core::SpilloverChange& change : steering_.spill().TakeChanges()) {
+  for (const core::SpilloverChange& change : steering_.spillover().TakeChanges()) {
     logSpillover(change, steering_.backends(), reader_.revision());
   }
   if (now >= nextSettingsCheck_) {
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -44,7 +44,7 @@
   if (forward.reason == core::RouteReason::kCarriedToken) {
     return;
   }
-  if (forward.reason == core::RouteReason::kReached) {
+  if (forward.reason == core::RouteReason::kResolvedToken) {
     logTokenResolved(packet, forward, viewRevision);
     return;
   }
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -29,7 +29,7 @@
 
 std::vector<MetricSample> localShares(const core::TokenSteering& steering) {
   std::vector<MetricSample> samples;
-  for (const auto& [zone, localShare] : steering.spill().GetLocalShareByZone()) {
+  for (const auto& [zone, localShare] : steering.spillover().GetLocalShareByZone()) {
     samples.push_back({steering.backends().nameOf(zone), localShare});
   }
   return samples;
@@ -110,7 +110,7 @@
        [](const Sources& s) { return single(s.steering.health().counters().declaredDead); }},
       {"cobaltgauge_backend_probes_unproven_total", "Inconclusive probes of unresponsive backends",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.health().counters().unproven); }},
+       [](const Sources& s) { return single(s.steering.health().counters().inconclusive); }},
       {"cobaltgauge_routes_version", "Active configuration version", nullptr, MetricType::Gauge,
        [](const Sources& s) { return single(s.steering.routes().version()); }},
       {"cobaltgauge_store_revision", "Store revision of the view", nullptr, MetricType::Gauge,
@@ -267,7 +267,7 @@
       {"cobaltgauge_openings_spilled_total",
        "Openings placed outside the preferred zone for lack of capacity", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.spill().CountSpilled()); }},
+       [](const Sources& s) { return single(s.steering.spillover().CountSpilled()); }},
       {"cobaltgauge_zone_kept_share", "Local share of a zone's openings, minimum over its services",
        "zone", MetricType::Gauge, [](const Sources& s) { return localShares(s.steering); }},
       {"cobaltgauge_peer_streams_given_up_total",
@@ -297,19 +297,29 @@
        }},
       {"cobaltgauge_groups_silent", "Unreachable groups, whose backends are deprioritized", nullptr,
        MetricType::Gauge,
-       [](const Sources& s) { return single(s.steering.silentGroups().CountUnreachable(s.now)); }},
+       [](const Sources& s) {
+         return single(s.steering.unreachableGroups().CountUnreachable(s.now));
+       }},
       {"cobaltgauge_groups_found_silent_total", "Unreachable groups detected by this daemon",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Detected); }},
+       [](const Sources& s) {
+         return single(s.steering.unreachableGroups().GetCounters().Detected);
+       }},
       {"cobaltgauge_groups_ended_total", "Unreachable groups that recovered", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Recovered); }},
+       [](const Sources& s) {
+         return single(s.steering.unreachableGroups().GetCounters().Recovered);
+       }},
       {"cobaltgauge_group_probes_total", "Probes of backends in the groups of unresponsive ones",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Probes); }},
+       [](const Sources& s) {
+         return single(s.steering.unreachableGroups().GetCounters().Probes);
+       }},
       {"cobaltgauge_group_notices_total", "Notices of unreachable groups probed by this daemon",
        nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.steering.silentGroups().GetCounters().Notices); }},
+       [](const Sources& s) {
+         return single(s.steering.unreachableGroups().GetCounters().Notices);
+       }},
       {"cobaltgauge_reach_probes_total", "Probes that check whether any backend is reachable",
        nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.steering.serving().GetCounters().Probes); }}};
--- a/src/net/packed_backends.cc
+++ b/src/net/packed_backends.cc
@@ -83,8 +83,8 @@
          numberOf(backend.revision.era) - numberOf(packed.baseEra),
          backend.revision.number - packed.baseRevision, packAddress(backend.endpoint.address),
          backend.endpoint.port, names.indexOf(backend.service), names.indexOf(backend.zone),
-         names.indexOf(backend.softwareVersion), backend.capacity, backend.leaving,
-         backend.warmUpLeftMs, backend.startedAtMs, backend.statement});
+         names.indexOf(backend.softwareVersion), backend.capacity, backend.draining,
+         backend.remainingWarmUpMs, backend.startedAtMs, backend.updateSequence});
   }
   return packed;
 }
@@ -100,7 +100,8 @@
     backends.push_back({packed.keyPrefix + item.keySuffix, revisionOf(packed, item), item.id,
                         packed.names[item.service], core::Endpoint{*address, item.port},
                         packed.names[item.zone], packed.names[item.softwareVersion], item.capacity,
-                        item.leaving, item.warmUpLeftMs, item.startedAtMs, item.statement});
+                        item.draining, item.remainingWarmUpMs, item.startedAtMs,
+                        item.updateSequence});
   }
   return backends;
 }
--- a/src/net/packed_backends.h
+++ b/src/net/packed_backends.h
@@ -24,10 +24,10 @@
   std::uint32_t zone = 0;
   std::uint32_t softwareVersion = 0;
   std::uint32_t capacity = 1;
-  bool leaving = false;
-  std::uint32_t warmUpLeftMs = 0;
+  bool draining = false;
+  std::uint32_t remainingWarmUpMs = 0;
   std::uint64_t startedAtMs = 0;
-  std::uint64_t statement = 0;
+  std::uint64_t updateSequence = 0;
 };
 
 struct PackedBackends {
--- a/src/net/peer_fields.h
+++ b/src/net/peer_fields.h
@@ -19,7 +19,7 @@
 struct ForwardedPacket {
   core::MemberId ingress = core::kNoMember;
   std::uint8_t hops = 0;
-  bool wantsListing = false;  ///< The ingress daemon lacks the shard's flow records.
+  bool needsListing = false;  ///< The ingress daemon lacks the shard's flow records.
   std::uint16_t protocolType = 0;
   std::vector<std::uint8_t> packet;
 };
@@ -87,8 +87,8 @@
 }
 auto fieldsOf(IsMessage<PackedBackend> auto& m) {
   return std::tie(m.keySuffix, m.id, m.eraOffset, m.revisionOffset, m.address, m.port, m.service,
-                  m.zone, m.softwareVersion, m.capacity, m.leaving, m.warmUpLeftMs, m.startedAtMs,
-                  m.statement);
+                  m.zone, m.softwareVersion, m.capacity, m.draining, m.remainingWarmUpMs,
+                  m.startedAtMs, m.updateSequence);
 }
 auto fieldsOf(IsMessage<PackedBackends> auto& m) {
   return std::tie(m.keyPrefix, m.baseEra, m.baseRevision, m.names, m.backends);
@@ -143,7 +143,7 @@
 auto fieldsOf(IsMessage<core::BackendGroup> auto& m) { return std::tie(m.Service, m.Zone); }
 auto fieldsOf(IsMessage<core::UnreachableGroupsNotice> auto& m) { return std::tie(m.Groups); }
 auto fieldsOf(IsMessage<ForwardedPacket> auto& m) {
-  return std::tie(m.ingress, m.hops, m.wantsListing, m.protocolType, m.packet);
+  return std::tie(m.ingress, m.hops, m.needsListing, m.protocolType, m.packet);
 }
 
 }  // namespace cobaltgauge::net
--- a/src/sim/packet_router.cc
+++ b/src/sim/packet_router.cc
@@ -35,9 +35,9 @@
   bool shouldReadPlatform(Time now) const override { return balancer_.shouldReadPlatform(now); }
   std::vector<core::OutgoingMessage> takeMessages() override { return balancer_.takeMessages(); }
   core::ConfigurationVersion activeVersion() const override { return balancer_.activeVersion(); }
-  void beginLeaving(Time now) override { balancer_.beginLeaving(now); }
+  void beginShutdown(Time now) override { balancer_.beginShutdown(now); }
   bool handoverDone() const override { return balancer_.handoverDone(); }
-  void finishLeaving(Time now) override { balancer_.finishLeaving(now); }
+  void finishShutdown(Time now) override { balancer_.finishShutdown(now); }
   std::size_t flowStateBytes(Time now) const override {
     std::size_t flows = 0;
     balancer_.flows().forEach(now, [&flows](const core::FlowEntry&) { ++flows; });
@@ -92,9 +92,9 @@
   bool shouldReadPlatform(Time) const override { return true; }
   std::vector<core::OutgoingMessage> takeMessages() override { return {}; }
   core::ConfigurationVersion activeVersion() const override { return agent_.digest().version; }
-  void beginLeaving(Time) override {}
+  void beginShutdown(Time) override {}
   bool handoverDone() const override { return true; }
-  void finishLeaving(Time) override {}
+  void finishShutdown(Time) override {}
   std::size_t flowStateBytes(Time now) const override {
     std::size_t flows = 0;
     flows_.forEach(now, [&flows](const core::FlowEntry&) { ++flows; });
--- a/src/sim/packet_router.h
+++ b/src/sim/packet_router.h
@@ -35,9 +35,9 @@
   virtual bool shouldReadPlatform(core::Time now) const = 0;
   virtual std::vector<core::OutgoingMessage> takeMessages() = 0;
   virtual core::ConfigurationVersion activeVersion() const = 0;
-  virtual void beginLeaving(core::Time now) = 0;
+  virtual void beginShutdown(core::Time now) = 0;
   virtual bool handoverDone() const = 0;
-  virtual void finishLeaving(core::Time now) = 0;
+  virtual void finishShutdown(core::Time now) = 0;
   /// @return bytes of per-flow state held, for side-by-side figures.
   virtual std::size_t flowStateBytes(core::Time now) const = 0;
 };
--- a/src/sim/world_faults.cc
+++ b/src/sim/world_faults.cc
@@ -70,7 +70,7 @@
       daemon->leavingSince = queue_.now();
       daemon->sprayedUntil = queue_.now() + scenario_.fabricLag;
       daemon->deliver([this, daemon] {
-        daemon->router().beginLeaving(queue_.now());
+        daemon->router().beginShutdown(queue_.now());
         flush(daemon);
       });
       break;
--- a/src/sim/world_traffic.cc
+++ b/src/sim/world_traffic.cc
@@ -86,7 +86,7 @@
     if (peer == nullptr) {
       return;
     }
-    const core::PeerArrival arrival{ingress, pass->hops, pass->wantsListing};
+    const core::PeerArrival arrival{ingress, pass->hops, pass->needsListing};
     transmit(daemon->zone(), peer->zone(), [this, peer, request, arrival] {
       peer->deliver([this, peer, request, arrival] {
         const core::Verdict next =
@@ -177,7 +177,7 @@
     const bool leaving = daemon->leavingSince != core::Time{};
     if (leaving && now - daemon->leavingSince >= scenario_.linger &&
         daemon->router().handoverDone()) {
-      daemon->router().finishLeaving(now);
+      daemon->router().finishShutdown(now);
       flush(daemon);
       daemon->kill();
       daemon->endedAt = now;
--- a/tests/core/admission/refused_openings_test.cc
+++ b/tests/core/admission/refused_openings_test.cc
@@ -53,7 +53,8 @@
   std::uint16_t FindRefused(std::uint32_t copy)
   {
     for (std::uint16_t port = 1000; port < 1100; ++port) {
-      if (refuseReasonOf(this->open(port, copy)) == RefuseReason::kNoRoom) {
+      if (refuseReasonOf(this->open(port, copy)) ==
+          RefuseReason::kOverloaded) {
         return port;
       }
     }
@@ -89,8 +90,8 @@
   this->OpenHighPriority(2000);
   this->now += core::kAdmissionInterval;
   BOOST_REQUIRE(this->FindRefused(0) != 0);
-  BOOST_TEST(
-    (refuseReasonOf(this->OpenHighPriority(3000)) != RefuseReason::kNoRoom));
+  BOOST_TEST((refuseReasonOf(this->OpenHighPriority(3000)) !=
+              RefuseReason::kOverloaded));
 }
 
 BOOST_AUTO_TEST_CASE(stale_view_refuses_nothing)
--- a/tests/core/backend_health_test.cc
+++ b/tests/core/backend_health_test.cc
@@ -111,7 +111,7 @@
   BOOST_TEST(!health.onProbe(kBackendA, ProbeResult::kInconclusive, now));
   BOOST_TEST(!health.isDead(kBackendA));
   BOOST_TEST(health.isSuspected(kBackendA, now));
-  BOOST_TEST(health.counters().unproven == 1U);
+  BOOST_TEST(health.counters().inconclusive == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(dead_state_expires_without_confirmation) {
--- a/tests/core/backend_registry_test.cc
+++ b/tests/core/backend_registry_test.cc
@@ -29,8 +29,8 @@
   item.softwareVersion = "v2";
   BOOST_TEST((registry.put("servers/1", item, 3, now) == RegistryEvent::kChanged));
   item.state = core::BackendState::kDraining;
-  BOOST_TEST((registry.put("servers/1", item, 4, now) == RegistryEvent::kLeaving));
-  BOOST_TEST((registry.remove("servers/1", 5, now) == RegistryEvent::kVanished));
+  BOOST_TEST((registry.put("servers/1", item, 4, now) == RegistryEvent::kDraining));
+  BOOST_TEST((registry.remove("servers/1", 5, now) == RegistryEvent::kRemoved));
   BOOST_TEST((registry.remove("servers/1", 6, now) == RegistryEvent::kNone));
   item.state = core::BackendState::kActive;
   BOOST_TEST((registry.put("servers/1", item, 7, now) == RegistryEvent::kReturned));
@@ -139,10 +139,10 @@
   registry.remove("servers/1", 2, now);
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 3, now + 1s);
   registry.remove("servers/1", 4, now + 1s);
-  BOOST_TEST(registry.vanishedSince(web, now - 1s).size() == 1U);
-  BOOST_TEST(registry.vanishedSince(web, now + 1s).empty());
+  BOOST_TEST(registry.unannouncedRemovalsSince(web, now - 1s).size() == 1U);
+  BOOST_TEST(registry.unannouncedRemovalsSince(web, now + 1s).empty());
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 5, now + 2s);
-  BOOST_TEST(registry.vanishedSince(web, now - 1s).empty());
+  BOOST_TEST(registry.unannouncedRemovalsSince(web, now - 1s).empty());
 }
 
 BOOST_AUTO_TEST_CASE(pages_cover_all_present_backends) {
--- a/tests/core/balancer_test.cc
+++ b/tests/core/balancer_test.cc
@@ -94,7 +94,7 @@
         break;
       }
       const PeerArrival arrival{ingress.membership().self().id, forward->hops,
-                                forward->wantsListing};
+                                forward->needsListing};
       for (Balancer* peer : running) {
         if (peer->membership().self().control == forward->destination) {
           verdict = peer->onPeerPacket(packet, arrival, now);
@@ -212,10 +212,10 @@
   const std::map<std::uint8_t, BackendId> chosen = openFlows();
   first.offerConfiguration(makeDocument(2, "drained"), now);
   advance(3s);
-  first.beginLeaving(now);
+  first.beginShutdown(now);
   advance(1s);
   BOOST_TEST(first.handoverDone());
-  first.finishLeaving(now);
+  first.finishShutdown(now);
   deliver();
   running = {&second};
   advance(1s);
--- a/tests/core/domains/failed_group_test.cc
+++ b/tests/core/domains/failed_group_test.cc
@@ -78,12 +78,12 @@
 BOOST_AUTO_TEST_CASE(failed_group_loses_few_openings)
 {
   BOOST_TEST(this->Open(3s, ProbeResult::kRefused) <= 10);
-  BOOST_TEST(this->steering.silentGroups().GetCounters().Detected == 1U);
+  BOOST_TEST(this->steering.unreachableGroups().GetCounters().Detected == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(if_disabled_each_failed_backend_loses_an_opening)
 {
-  this->steering.silentGroups().SetEnabled(false);
+  this->steering.unreachableGroups().SetEnabled(false);
   BOOST_TEST(this->Open(3s, ProbeResult::kRefused) >= 30);
 }
 
@@ -91,7 +91,7 @@
 BOOST_AUTO_TEST_CASE(backends_that_accept_connections_are_not_deprioritized)
 {
   this->Open(3s, ProbeResult::kConnected);
-  BOOST_TEST(this->steering.silentGroups().GetCounters().Detected == 0U);
+  BOOST_TEST(this->steering.unreachableGroups().GetCounters().Detected == 0U);
 }
 
 BOOST_AUTO_TEST_CASE(recovered_group_is_used_after_one_probe)
@@ -99,7 +99,8 @@
   this->Open(3s, ProbeResult::kRefused);
   this->now += core::kGroupProbeInterval;
   this->Probe(ProbeResult::kConnected);
-  BOOST_TEST(this->steering.silentGroups().CountUnreachable(this->now) == 0U);
+  BOOST_TEST(this->steering.unreachableGroups().CountUnreachable(this->now) ==
+             0U);
 }
 
 // Deprioritized candidates are used if there are no others.
@@ -110,7 +111,8 @@
     this->steering.onGroupProbe(
       BackendId{ id }, ProbeResult::kRefused, this->now);
   }
-  BOOST_TEST(this->steering.silentGroups().CountUnreachable(this->now) == 2U);
+  BOOST_TEST(this->steering.unreachableGroups().CountUnreachable(this->now) ==
+             2U);
   for (int turn = 0; turn < 50; ++turn) {
     this->backendOf(this->open(++this->Port));
   }
--- a/tests/core/domains/unreachable_groups_test.cc
+++ b/tests/core/domains/unreachable_groups_test.cc
@@ -70,7 +70,8 @@
     BOOST_REQUIRE(this->Groups.CountUnreachable(this->Now) == 1U);
   }
 
-  bool ComesLast(std::uint64_t id, const BackendGroup& group = kGroup) const
+  bool IsDeprioritized(std::uint64_t id,
+                       const BackendGroup& group = kGroup) const
   {
     return this->Groups.IsDeprioritized(MakeCandidate(id, group), this->Now);
   }
@@ -81,11 +82,11 @@
 BOOST_AUTO_TEST_CASE(failed_probes_deprioritize_the_whole_group)
 {
   this->OnProbe(1, ProbeResult::kRefused);
-  BOOST_TEST(!this->ComesLast(40));
+  BOOST_TEST(!this->IsDeprioritized(40));
   BOOST_TEST(this->Probe(2, ProbeResult::kRefused) ==
              core::kGroupUnreachableThreshold - 1);
-  BOOST_TEST(this->ComesLast(40));
-  BOOST_TEST(!this->ComesLast(41, kOtherZoneGroup));
+  BOOST_TEST(this->IsDeprioritized(40));
+  BOOST_TEST(!this->IsDeprioritized(41, kOtherZoneGroup));
   BOOST_TEST(this->Groups.TakeDetected().size() == 1U);
 }
 
@@ -93,7 +94,7 @@
 {
   this->OnProbe(1, ProbeResult::kRefused);
   this->Probe(2, ProbeResult::kConnected);
-  BOOST_TEST(!this->ComesLast(1));
+  BOOST_TEST(!this->IsDeprioritized(1));
   BOOST_TEST(this->Groups.IsEmpty());
 }
 
@@ -128,16 +129,16 @@
 {
   this->DetectGroup();
   this->Groups.OnAnswer(BackendId{ 17 }, kGroup, this->Now);
-  BOOST_TEST(!this->ComesLast(1));
+  BOOST_TEST(!this->IsDeprioritized(1));
   BOOST_TEST(this->Groups.GetCounters().Recovered == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(new_members_are_not_deprioritized)
 {
   this->DetectGroup();
-  BOOST_TEST(!this->ComesLast(kMembers + 1));
+  BOOST_TEST(!this->IsDeprioritized(kMembers + 1));
   this->Groups.OnAnswer(BackendId{ kMembers + 1 }, kGroup, this->Now);
-  BOOST_TEST(this->ComesLast(1));
+  BOOST_TEST(this->IsDeprioritized(1));
 }
 
 BOOST_AUTO_TEST_CASE(unreachable_group_is_probed_and_expires_without_probes)
@@ -147,11 +148,11 @@
   for (int turn = 0; turn < 40; ++turn) {
     this->Now += 100ms;
     probes += this->Probe(7, ProbeResult::kRefused);
-    BOOST_TEST(this->ComesLast(40));
+    BOOST_TEST(this->IsDeprioritized(40));
   }
   BOOST_TEST(probes == 4s / core::kGroupProbeInterval);
   this->Now += core::kGroupUnreachableTtl;
-  BOOST_TEST(!this->ComesLast(40));
+  BOOST_TEST(!this->IsDeprioritized(40));
   this->Groups.Expire(this->Now);
   BOOST_TEST(this->Groups.IsEmpty());
 }
@@ -159,10 +160,10 @@
 BOOST_AUTO_TEST_CASE(notice_only_triggers_probes)
 {
   this->Groups.OnNotice(kGroup, this->Now);
-  BOOST_TEST(!this->ComesLast(1));
+  BOOST_TEST(!this->IsDeprioritized(1));
   BOOST_TEST(this->Probe(1, ProbeResult::kRefused) ==
              core::kGroupUnreachableThreshold);
-  BOOST_TEST(this->ComesLast(40));
+  BOOST_TEST(this->IsDeprioritized(40));
 }
 
 // Wrong or late notices do not affect placement.
@@ -172,7 +173,7 @@
   for (int turn = 0; turn < 1000; ++turn) {
     this->Groups.OnNotice(kGroup, this->Now);
     probes += this->Probe(1, ProbeResult::kConnected);
-    BOOST_TEST(!this->ComesLast(1));
+    BOOST_TEST(!this->IsDeprioritized(1));
     this->Now += 10ms;
   }
   BOOST_TEST(probes <= 10 * core::kGroupUnreachableThreshold);
@@ -223,7 +224,7 @@
 {
   this->DetectGroup();
   this->Groups.OnResume();
-  BOOST_TEST(!this->ComesLast(1));
+  BOOST_TEST(!this->IsDeprioritized(1));
 }
 
 BOOST_AUTO_TEST_CASE(state_expires_without_new_evidence)
@@ -238,7 +239,7 @@
       daemon.Now += 7ms;
       if (action == 0) {
         daemon.Groups.OnAnswer(BackendId{ id }, kGroup, daemon.Now);
-        RC_ASSERT(!daemon.ComesLast(id));
+        RC_ASSERT(!daemon.IsDeprioritized(id));
       } else {
         daemon.OnProbe(
           id, action == 1 ? ProbeResult::kTimedOut : ProbeResult::kRefused);
@@ -246,7 +247,7 @@
     }
     daemon.Now += core::kGroupUnreachableTtl;
     for (std::uint64_t id = 1; id <= kMembers; ++id) {
-      RC_ASSERT(!daemon.ComesLast(id));
+      RC_ASSERT(!daemon.IsDeprioritized(id));
     }
   });
   BOOST_TEST(expires);
--- a/tests/core/load/load_meter_test.cc
+++ b/tests/core/load/load_meter_test.cc
@@ -170,7 +170,7 @@
   core::BackendRegistry& backends = this->steering.backends();
   BOOST_TEST(backends.countSlots(this->now).at(key) == 6U);
   core::Registration cold = makeRegistration(4, "web", 1, 4);
-  cold.warmUpLeft = 2s;
+  cold.remainingWarmUp = 2s;
   this->putBackend(4, cold);
   BOOST_TEST(backends.countSlots(this->now).at(key) == 6U);
   BOOST_TEST(backends.countSlots(this->now + 3s).at(key) == 8U);
--- a/tests/core/placement/spilled_openings_test.cc
+++ b/tests/core/placement/spilled_openings_test.cc
@@ -58,21 +58,22 @@
   {
     this->Steering.routes().offer(makeRoutes(1, { { 1, "web" } }), this->Now);
     this->Steering.setViewState(true, true);
-    this->Steering.spill().AddSource(this->Capacity);
+    this->Steering.spillover().AddSource(this->Capacity);
     for (const char* zone : { "a", "b", "c" }) {
       this->Put(zone);
       this->Capacity.SetLoad(zone, kLowLoad);
     }
   }
 
-  void Put(const std::string& zone, std::chrono::milliseconds warmUpLeft = 0ms)
+  void Put(const std::string& zone,
+           std::chrono::milliseconds remainingWarmUp = 0ms)
   {
     for (std::uint8_t host = 0; host < kBackendsPerZone; ++host) {
       const std::uint64_t id = (++this->Revision).number;
       core::Registration item =
         makeRegistration(id, "web", 1, static_cast<std::uint8_t>(id));
       item.zone = zone;
-      item.warmUpLeft = warmUpLeft;
+      item.remainingWarmUp = remainingWarmUp;
       this->Steering.backends().put(
         "servers/" + std::to_string(id), item, id, this->Now);
       this->Zones[item.id] = zone;
@@ -111,7 +112,7 @@
 {
   this->PlaceOpenings();
   BOOST_TEST(this->Placed["a"] > 360);
-  BOOST_TEST(this->Steering.spill().CountSpilled() == 0);
+  BOOST_TEST(this->Steering.spillover().CountSpilled() == 0);
 }
 
 BOOST_AUTO_TEST_CASE(OverloadedZoneSpillsToOthers)
@@ -123,7 +124,7 @@
   BOOST_TEST(this->Placed["a"] > 0);
   BOOST_TEST(this->Placed["b"] > 120);
   BOOST_TEST(this->Placed["c"] > 120);
-  BOOST_TEST(this->Steering.spill().CountSpilled() > 360);
+  BOOST_TEST(this->Steering.spillover().CountSpilled() > 360);
 }
 
 BOOST_AUTO_TEST_CASE(OverloadedZoneReceivesNoSpillover)
--- a/tests/core/placement/zone_queue_model.h
+++ b/tests/core/placement/zone_queue_model.h
@@ -49,7 +49,7 @@
     : Demand(zones, 0.2)
     , Capacities(zones)
     , Utilization(zones)
-    , Spills(zones)
+    , Spillovers(zones)
   {
     this->Reported.Zones.resize(zones);
     for (std::size_t zone = 0; zone < zones; ++zone) {
@@ -60,14 +60,14 @@
                                    {},
                                    core::kNoRegion,
                                    ZoneOf(zone) });
-      this->Spills[zone].AddSource(this->Reported);
+      this->Spillovers[zone].AddSource(this->Reported);
     }
   }
 
   double LocalShare(std::size_t zone) const
   {
-    return this->Spills[zone].GetLocalShare(core::ServiceId{ 1 },
-                                            ZoneOf(zone));
+    return this->Spillovers[zone].GetLocalShare(core::ServiceId{ 1 },
+                                                ZoneOf(zone));
   }
 
   void Step()
@@ -99,8 +99,8 @@
     }
     this->Now += kStep;
     this->Report();
-    for (core::ZoneSpillover& spill : this->Spills) {
-      spill.Update(this->Candidates, this->Now);
+    for (core::ZoneSpillover& spillover : this->Spillovers) {
+      spillover.Update(this->Candidates, this->Now);
     }
   }
 
@@ -118,7 +118,7 @@
   std::function<bool(std::vector<core::ZoneCapacity>&)> OnReport;
   std::vector<core::ZoneCapacity> Capacities;
   std::vector<double> Utilization; ///< Offered load by zone in the last step.
-  std::vector<core::ZoneSpillover> Spills;
+  std::vector<core::ZoneSpillover> Spillovers;
   core::Time Now = 100s;
 
 private:
--- a/tests/core/placement/zone_spillover_test.cc
+++ b/tests/core/placement/zone_spillover_test.cc
@@ -153,14 +153,14 @@
   ZoneQueueModel queues(3);
   queues.Demand[0] = kBurstDemand;
   queues.Run(4s);
-  const auto started = queues.Spills[0].TakeChanges();
+  const auto started = queues.Spillovers[0].TakeChanges();
   BOOST_REQUIRE(started.size() == 1);
   BOOST_TEST(started[0].Began);
   BOOST_TEST((started[0].Zone == ZoneOf(0)));
   BOOST_TEST(started[0].Demand > started[0].LowestDemand);
   queues.Demand[0] = 0.2;
   queues.Run(4s);
-  const auto ended = queues.Spills[0].TakeChanges();
+  const auto ended = queues.Spillovers[0].TakeChanges();
   BOOST_REQUIRE(ended.size() == 1);
   BOOST_TEST(!ended[0].Began);
 }
@@ -172,8 +172,8 @@
   queues.Demand = { 0.33, 0.2, 0.1 };
   queues.Run(2s);
   const auto limit = [&queues](bool limited) {
-    for (core::ZoneSpillover& spill : queues.Spills) {
-      spill.SetLimited(core::ServiceId{ 1 }, limited);
+    for (core::ZoneSpillover& spillover : queues.Spillovers) {
+      spillover.SetLimited(core::ServiceId{ 1 }, limited);
     }
   };
   limit(true);
@@ -188,7 +188,7 @@
 BOOST_AUTO_TEST_CASE(DisabledSpilloverKeepsAllOpenings)
 {
   ZoneQueueModel queues(3);
-  queues.Spills[0].SetEnabled(false);
+  queues.Spillovers[0].SetEnabled(false);
   queues.Demand[0] = kBurstDemand;
   queues.Run(4s);
   BOOST_TEST(queues.LocalShare(0) == 1);
--- a/tests/core/registration_order_test.cc
+++ b/tests/core/registration_order_test.cc
@@ -25,11 +25,12 @@
 
   std::uint64_t startedAtMs = 0;
 
-  RegistryEvent putRegistration(BackendState state, std::uint64_t statement, Revision revision) {
+  RegistryEvent putRegistration(BackendState state, std::uint64_t updateSequence,
+                                Revision revision) {
     core::Registration registration = makeRegistration(1, "web", 1, 1);
     registration.startedAtMs = startedAtMs;
     registration.state = state;
-    registration.statement = statement;
+    registration.updateSequence = updateSequence;
     return backends.put(kKey, registration, revision, now);
   }
 
@@ -69,7 +70,7 @@
 // It has started again under its id, and begins its numbers anew.
 BOOST_AUTO_TEST_CASE(restarted_statement_numbers_are_accepted) {
   putRegistration(BackendState::kActive, 10, 20);
-  BOOST_TEST((putRegistration(BackendState::kDraining, 1, 21) == RegistryEvent::kLeaving));
+  BOOST_TEST((putRegistration(BackendState::kDraining, 1, 21) == RegistryEvent::kDraining));
   startedAtMs = 5;
   putRegistration(BackendState::kDraining, 10, 22);
   backends.remove(kKey, 23, now);
@@ -98,7 +99,7 @@
 BOOST_AUTO_TEST_CASE(later_era_listing_recognizes_unchanged_items) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   core::Registration item = *backends.findPresent(kKey);
-  item.statement = 14;
+  item.updateSequence = 14;
   BOOST_TEST(backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 20}));
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{1}, 20}));
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 45}));
--- a/tests/core/relay/peer_clocks_test.cc
+++ b/tests/core/relay/peer_clocks_test.cc
@@ -80,7 +80,7 @@
   this->Clocks.Expire(100s + core::kClockOffsetTtl + 1ms);
   BOOST_TEST(!this->Clocks.GetConfirmedAt(update, 100s).has_value());
   this->Clocks.RecordOffset(update, 100s);
-  this->Clocks.Forget(this->Peer);
+  this->Clocks.Remove(this->Peer);
   BOOST_TEST(!this->Clocks.GetConfirmedAt(update, 100s).has_value());
 }
 
--- a/tests/core/relay/store_era_stateful_test.cc
+++ b/tests/core/relay/store_era_stateful_test.cc
@@ -16,8 +16,8 @@
 struct SimulatedBackend
 {
   bool Alive = true;
-  bool Leaving = false;
-  std::uint64_t Statement = 1;
+  bool Draining = false;
+  std::uint64_t UpdateSequence = 1;
 };
 
 struct StoreEraScenario : RelayFixture
@@ -61,9 +61,9 @@
     SimulatedBackend& backend = this->Backends.at(id);
     core::Registration registration =
       makeRegistration(id, "web", 1, static_cast<std::uint8_t>(id));
-    registration.state = backend.Leaving ? core::BackendState::kDraining
-                                         : core::BackendState::kActive;
-    registration.statement = ++backend.Statement;
+    registration.state = backend.Draining ? core::BackendState::kDraining
+                                          : core::BackendState::kActive;
+    registration.updateSequence = ++backend.UpdateSequence;
     this->Store.put(KeyOf(id), registration);
   }
 
@@ -131,8 +131,9 @@
       return true;
     }
     const auto& registration = std::get<core::Registration>(item->item);
-    const bool isLeaving = registration.state == core::BackendState::kDraining;
-    return isLeaving != backend.Leaving;
+    const bool isDraining =
+      registration.state == core::BackendState::kDraining;
+    return isDraining != backend.Draining;
   }
 
   /// Get the announced shutdowns that daemons know.  They must be kept while
@@ -225,7 +226,7 @@
       }
       case 1:
         this->AddTrace("drain " + std::to_string(id));
-        backend.Leaving = true;
+        backend.Draining = true;
         break;
       default:
         this->AddTrace("remove " + std::to_string(id));
@@ -331,7 +332,8 @@
             node.Backends.takesNewFlows(core::BackendId{ id });
           BOOST_TEST_CONTEXT("backend " << id)
           {
-            BOOST_TEST(acceptsNewFlows == (backend.Alive && !backend.Leaving));
+            BOOST_TEST(acceptsNewFlows ==
+                       (backend.Alive && !backend.Draining));
           }
         }
       }
--- a/tests/core/store_reader_test.cc
+++ b/tests/core/store_reader_test.cc
@@ -295,7 +295,7 @@
   BOOST_TEST(changes[0].revision == 4U);
   BOOST_TEST(changes[0].reason == "no address");
   BOOST_TEST(changes[1].key == "servers/1");
-  BOOST_TEST((changes[1].backendEvent == core::RegistryEvent::kLeaving));
+  BOOST_TEST((changes[1].backendEvent == core::RegistryEvent::kDraining));
   // Unreadable routes leave those in effect unchanged.
   store.put("op/config", core::UnreadableItem{"no version"});
   answerNext();
--- a/tests/core/token_openings_test.cc
+++ b/tests/core/token_openings_test.cc
@@ -125,7 +125,7 @@
 
 BOOST_AUTO_TEST_CASE(service_without_backends_refuses_as_not_run_after_grace_period) {
   removeBackends();
-  now += core::kVanishedBackendGracePeriod;
+  now += core::kUnannouncedRemovalGracePeriod;
   BOOST_TEST((dropReasonOf(open(1)) == DropReason::kEmptyService));
   now += core::kEmptyServiceGracePeriod;
   const core::Verdict verdict = open(2);
@@ -149,7 +149,7 @@
   }
   BOOST_TEST(flows.size() == 4U);
   // Backends that did not register again are removed after the grace period.
-  now += core::kVanishedBackendGracePeriod;
+  now += core::kUnannouncedRemovalGracePeriod;
   for (std::uint16_t port = 20; port <= 29; ++port) {
     now += 100ms;
     BOOST_TEST((establishFlow(port) == BackendId{4}));
@@ -189,7 +189,7 @@
 BOOST_AUTO_TEST_CASE(only_backend_receives_flows_during_grace_period_after_vanishing) {
   steering.backends().remove(keyOf(1), ++revision, now);
   steering.backends().remove(keyOf(2), ++revision, now);
-  now += core::kVanishedBackendGracePeriod;
+  now += core::kUnannouncedRemovalGracePeriod;
   steering.backends().remove(keyOf(3), ++revision, now);
   now += 1s;
   BOOST_TEST((backendOf(open(1)) == BackendId{3}));
--- a/tests/core/tokens/address_token_steering_test.cc
+++ b/tests/core/tokens/address_token_steering_test.cc
@@ -99,7 +99,7 @@
   BOOST_REQUIRE(forward != nullptr);
   BOOST_TEST((forward->backend.endpoint == opened.backend.endpoint));
   BOOST_TEST((forward->backend.id == core::kNoBackend));
-  BOOST_TEST((forward->reason == RouteReason::kReached));
+  BOOST_TEST((forward->reason == RouteReason::kResolvedToken));
 }
 
 BOOST_AUTO_TEST_CASE(daemon_without_view_neither_opens_nor_resets_flows)
@@ -121,7 +121,8 @@
   this->WithoutView.setViewState(true, true);
   const core::Verdict verdict =
     this->SendPacket(this->WithoutView, 1, opened.token);
-  BOOST_TEST((TokenFixture::routeReasonOf(verdict) == RouteReason::kReached));
+  BOOST_TEST(
+    (TokenFixture::routeReasonOf(verdict) == RouteReason::kResolvedToken));
 }
 
 BOOST_AUTO_TEST_CASE(flows_of_a_dropped_route_are_reset)
--- a/tests/core/tokens/token_steering_model.h
+++ b/tests/core/tokens/token_steering_model.h
@@ -306,7 +306,8 @@
         "a packet was forwarded to an address other than its flow's backend");
       return;
     }
-    this->Resolved += forward->reason == core::RouteReason::kReached ? 1 : 0;
+    this->Resolved +=
+      forward->reason == core::RouteReason::kResolvedToken ? 1 : 0;
     if (this->Deliver(*forward) == flow.Owner) {
       flow.Acknowledgement += 100;
       flow.Token = forward->token;
--- a/tests/core/warmup/warm_up_budget_test.cc
+++ b/tests/core/warmup/warm_up_budget_test.cc
@@ -43,7 +43,7 @@
       for (core::WarmUpBudget& daemon : this->Daemons) {
         for (std::size_t i = 0; i < this->Openings.size(); ++i) {
           const core::BackendId backend{ core::mixHash(77, i) };
-          if (daemon.MayOpen(backend, perSecond, now)) {
+          if (daemon.AllowsOpening(backend, perSecond, now)) {
             daemon.OnOpening(backend, now);
             this->Openings[i].push_back(now);
           }
@@ -118,8 +118,9 @@
   std::size_t allowed = 0;
   for (std::uint64_t i = 0; i < 1000; ++i) {
     allowed +=
-      daemon.MayOpen(core::BackendId{ core::mixHash(5, i) }, 10.0, 100s) ? 1
-                                                                         : 0;
+      daemon.AllowsOpening(core::BackendId{ core::mixHash(5, i) }, 10.0, 100s)
+      ? 1
+      : 0;
   }
   BOOST_TEST(allowed < 20U);
 }
@@ -129,10 +130,10 @@
   core::WarmUpBudget daemon(1);
   daemon.SetDaemonCount(1);
   const core::BackendId backend{ 9 };
-  BOOST_TEST(daemon.MayOpen(backend, 3.0, 100s));
+  BOOST_TEST(daemon.AllowsOpening(backend, 3.0, 100s));
   daemon.OnOpening(backend, 100s);
-  BOOST_TEST(!daemon.MayOpen(backend, 3.0, 101s));
-  BOOST_TEST(daemon.MayOpen(backend, 3.0, 100s + core::kWarmUpWindow));
+  BOOST_TEST(!daemon.AllowsOpening(backend, 3.0, 101s));
+  BOOST_TEST(daemon.AllowsOpening(backend, 3.0, 100s + core::kWarmUpWindow));
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/warmup/warm_up_openings_test.cc
+++ b/tests/core/warmup/warm_up_openings_test.cc
@@ -32,7 +32,7 @@
   void PutWarmingUp(std::uint8_t id)
   {
     core::Registration registration = makeRegistration(id, "web", 1, id);
-    registration.warmUpLeft = 5s;
+    registration.remainingWarmUp = 5s;
     this->putBackend(id, registration);
   }
 
--- a/tests/daemon/view_change_logger_test.cc
+++ b/tests/daemon/view_change_logger_test.cc
@@ -27,7 +27,7 @@
     core::ViewChange change;
     change.key = "servers/" + std::to_string(id);
     change.revision = 1000 + id;
-    change.backendEvent = core::RegistryEvent::kVanished;
+    change.backendEvent = core::RegistryEvent::kRemoved;
     return change;
   }
 };
@@ -53,7 +53,7 @@
   logger->onTick(now + 1s);
   BOOST_TEST(linesByKey.size() < 100U);
   BOOST_REQUIRE(summaries.size() == 1U);
-  const auto event = static_cast<std::size_t>(core::RegistryEvent::kVanished);
+  const auto event = static_cast<std::size_t>(core::RegistryEvent::kRemoved);
   BOOST_TEST(summaries[0].counts[event] + linesByKey.size() == 10'000U);
   BOOST_TEST(summaries[0].last == 10'999U);
   logger->onTick(now + 3s);
--- a/tests/net/packed_backends_test.cc
+++ b/tests/net/packed_backends_test.cc
@@ -20,8 +20,8 @@
     backend.zone = id % 2 == 0 ? "a" : "b";
     backend.softwareVersion = "v7";
     backend.capacity = 2;
-    backend.leaving = id % 5 == 0;
-    backend.warmUpLeftMs = static_cast<std::uint32_t>(id);
+    backend.draining = id % 5 == 0;
+    backend.remainingWarmUpMs = static_cast<std::uint32_t>(id);
     backend.startedAtMs = 1'700'000'000'000 + id;
     backends.push_back(backend);
   }
@@ -40,8 +40,8 @@
   BOOST_TEST(left.zone == right.zone);
   BOOST_TEST(left.softwareVersion == right.softwareVersion);
   BOOST_TEST(left.capacity == right.capacity);
-  BOOST_TEST(left.leaving == right.leaving);
-  BOOST_TEST(left.warmUpLeftMs == right.warmUpLeftMs);
+  BOOST_TEST(left.draining == right.draining);
+  BOOST_TEST(left.remainingWarmUpMs == right.remainingWarmUpMs);
   BOOST_TEST(left.startedAtMs == right.startedAtMs);
 }
 
--- a/tests/platform/store_items_test.cc
+++ b/tests/platform/store_items_test.cc
@@ -95,7 +95,7 @@
   BOOST_TEST(registration.service == "web");
   BOOST_TEST(net::formatEndpoint(registration.endpoint) == "10.128.0.9:8080");
   BOOST_TEST(registration.capacity == 2U);
-  BOOST_TEST(registration.warmUpLeft.count() == 700);
+  BOOST_TEST(registration.remainingWarmUp.count() == 700);
   BOOST_TEST((registration.state == core::BackendState::kActive));
 }
 
--- a/tests/sim/stateful_test.cc
+++ b/tests/sim/stateful_test.cc
@@ -80,9 +80,9 @@
       daemons_[index]->balancer->onMessage(delivery.from, delivery.message, now_);
     }
   }
-  void beginLeaving(std::size_t index) { daemons_[index]->balancer->beginLeaving(now_); }
+  void beginShutdown(std::size_t index) { daemons_[index]->balancer->beginShutdown(now_); }
   void endLeaving(std::size_t index) {
-    daemons_[index]->balancer->finishLeaving(now_);
+    daemons_[index]->balancer->finishShutdown(now_);
     deliver();
     kill(index);
   }
@@ -110,7 +110,7 @@
         break;
       }
       const PeerArrival arrival{daemons_[ingress]->balancer->membership().self().id, pass->hops,
-                                pass->wantsListing};
+                                pass->needsListing};
       verdict = peer->balancer->onPeerPacket(packet, arrival, now_);
     }
     deliver();
@@ -297,7 +297,7 @@
   using OneDaemonCommand::OneDaemonCommand;
   void apply(Oracle& oracle) const override { oracle.running[index] = false; }
   void run(const Oracle& before, FleetUnderTest& fleet) const override {
-    fleet.beginLeaving(index);
+    fleet.beginShutdown(index);
     exerciseFlows(before, fleet, 2);
     fleet.endLeaving(index);
     exerciseAfter(*this, before, fleet, 1);
