--- a/src/core/admission/priority_admission.cc
+++ b/src/core/admission/priority_admission.cc
@@ -241,13 +241,13 @@
   // The zone with the most spare capacity decides.
   std::optional<FleetCapacity> capacity;
   for (const ZoneId zone : this->LookUpZones(id)) {
-    const std::optional<ZoneCapacity> zoneRoom =
+    const std::optional<ZoneCapacity> zoneCapacity =
       this->View->GetZoneCapacity(id, zone, now);
-    if (!zoneRoom) {
+    if (!zoneCapacity) {
       return FleetCapacity::kUnknown;
     }
     capacity = std::min(capacity.value_or(FleetCapacity::kOverloaded),
-                        ToFleetCapacity(*zoneRoom));
+                        ToFleetCapacity(*zoneCapacity));
   }
   return capacity.value_or(FleetCapacity::kUnknown);
 }
--- a/src/core/backend_candidates.cc
+++ b/src/core/backend_candidates.cc
@@ -91,21 +91,21 @@
 
 std::vector<PlacementCandidate> BackendRegistry::unannouncedRemovalsSince(ServiceId service,
                                                                           Time since) const {
-  std::vector<PlacementCandidate> vanished;
-  const auto departures = departures_.find(service);
-  if (departures == departures_.end()) {
-    return vanished;
+  std::vector<PlacementCandidate> removed;
+  const auto removals = removals_.find(service);
+  if (removals == removals_.end()) {
+    return removed;
   }
-  const auto& list = departures->second;
+  const auto& list = removals->second;
   for (auto item = list.rbegin(); item != list.rend() && item->first > since; ++item) {
     const auto entry = entries_.find(item->second);
     // A backend that returned and departed again counts by its last departure.
     const bool isLast = entry != entries_.end() && entry->second.removedAt == item->first;
     if (isLast && wasRemovedUnannounced(entry->second, since)) {
-      vanished.push_back(candidateOf(entry->second));
+      removed.push_back(candidateOf(entry->second));
     }
   }
-  return vanished;
+  return removed;
 }
 
 bool BackendRegistry::wasRemovedUnannounced(const Entry& entry, Time since) const {
@@ -120,10 +120,10 @@
 }
 
 std::vector<PlacementCandidate> BackendRegistry::expiredSince(ServiceId service, Time since) {
-  std::vector<PlacementCandidate> vanished = unannouncedRemovalsSince(service, since);
-  const std::size_t all = vanished.size() + candidates(service).size();
-  const bool isMassExpiry = vanished.size() > 1 && vanished.size() * kMassExpiryRatio > all;
-  return isMassExpiry ? vanished : std::vector<PlacementCandidate>{};
+  std::vector<PlacementCandidate> removed = unannouncedRemovalsSince(service, since);
+  const std::size_t all = removed.size() + candidates(service).size();
+  const bool isMassExpiry = removed.size() > 1 && removed.size() * kMassExpiryRatio > all;
+  return isMassExpiry ? removed : std::vector<PlacementCandidate>{};
 }
 
 std::size_t BackendRegistry::activeCount() const {
--- a/src/core/backend_health.cc
+++ b/src/core/backend_health.cc
@@ -19,7 +19,7 @@
   recordRequest(backend, firstSentAt, now);
 }
 
-void BackendHealth::onAnswer(BackendId backend, Time now) {
+void BackendHealth::onResponse(BackendId backend, Time now) {
   Record& record = records_[backend];
   record.lastActivity = now;
   record.lastResponse = now;
@@ -78,7 +78,7 @@
   record.probing = false;
   record.nextProbe = now + kProbeRetryInterval;
   if (result == ProbeResult::kConnected) {
-    onAnswer(backend, now);
+    onResponse(backend, now);
     return false;
   }
   const bool respondedMeanwhile = record.unansweredSince == Time{} || !record.probeValid ||
--- a/src/core/backend_health.h
+++ b/src/core/backend_health.h
@@ -34,7 +34,7 @@
   /// Records that a client retransmitted data first sent at `firstSentAt`.
   void onRetransmittedData(BackendId backend, Time firstSentAt, Time now);
   /// Records that a client received new data from the backend.
-  void onAnswer(BackendId backend, Time now);
+  void onResponse(BackendId backend, Time now);
 
   /// @return true if new flows should prefer other backends.
   bool isSuspected(BackendId backend, Time now) const;
--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -13,7 +13,7 @@
       return "added";
     case RegistryEvent::kDraining:
       return "leaving";
-    case RegistryEvent::kReturned:
+    case RegistryEvent::kReactivated:
       return "returned";
     case RegistryEvent::kRemoved:
       return "vanished";
@@ -124,7 +124,7 @@
     return RegistryEvent::kDraining;
   }
   if (!tookNewFlows && !draining) {
-    return RegistryEvent::kReturned;
+    return RegistryEvent::kReactivated;
   }
   return sameContent ? RegistryEvent::kRefreshed : RegistryEvent::kChanged;
 }
@@ -178,34 +178,34 @@
   if (!entry.present) {
     return RegistryEvent::kNone;
   }
-  markDeparted(key, entry, now);
+  markRemoved(key, entry, now);
   return RegistryEvent::kRemoved;
 }
 
-void BackendRegistry::markDeparted(const std::string& key, Entry& entry, Time now) {
+void BackendRegistry::markRemoved(const std::string& key, Entry& entry, Time now) {
   entry.present = false;
   entry.removedAt = now;
-  departures_[entry.address.service].emplace_back(now, key);
+  removals_[entry.address.service].emplace_back(now, key);
   refreshCandidate(entry);
 }
 
 std::vector<std::string> BackendRegistry::retainOnly(const std::set<std::string>& keys,
                                                      Revision listedAt, Time now) {
   ++generation_;
-  std::vector<std::string> vanished;
+  std::vector<std::string> removed;
   for (const auto& [key, entry] : entries_) {
     if (entry.present && entry.revision <= listedAt && !keys.contains(key)) {
-      vanished.push_back(key);
+      removed.push_back(key);
     }
   }
-  for (const std::string& key : vanished) {
+  for (const std::string& key : removed) {
     // The removal's revision is unknown; that of the listing is its upper bound.
     Entry& entry = entries_.at(key);
     entry.revision = listedAt;
     entry.isRemovalRevisionExact = false;
-    markDeparted(key, entry, now);
+    markRemoved(key, entry, now);
   }
-  return vanished;
+  return removed;
 }
 
 const BackendAddress* BackendRegistry::findLastAt(const Endpoint& endpoint) const {
@@ -312,7 +312,7 @@
   unlink(key, entry);
 }
 
-void BackendRegistry::discardDeparted(Time now) {
+void BackendRegistry::discardExpired(Time now) {
   const std::vector<std::string> over = evacuations_.ExpireLost(now);
   expired_.insert(expired_.end(), over.begin(), over.end());
   clearCandidatesIf(!over.empty());
@@ -332,7 +332,7 @@
     discardedRevision_ = std::max(discardedRevision_, isOld ? item.second.revision : 0);
     return isOld;
   });
-  for (auto& [service, list] : departures_) {
+  for (auto& [service, list] : removals_) {
     while (!list.empty() && now - list.front().first >= retention_) {
       list.pop_front();
     }
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -27,13 +27,13 @@
 /// The effect of an item on a backend; for logs.
 enum class RegistryEvent : std::uint8_t {
   kAdded,
-  kDraining,   ///< Announced its shutdown.
-  kReturned,   ///< Active again after draining or removal.
-  kRemoved,    ///< Its item was removed.
-  kRestarted,  ///< Restarted under the same id, without its previous state.
-  kChanged,    ///< Another field changed.
-  kRefreshed,  ///< Applied without a change of content.
-  kNone,       ///< Older than the known state, or without effect.
+  kDraining,     ///< Announced its shutdown.
+  kReactivated,  ///< Active again after draining or removal.
+  kRemoved,      ///< Its item was removed.
+  kRestarted,    ///< Restarted under the same id, without its previous state.
+  kChanged,      ///< Another field changed.
+  kRefreshed,    ///< Applied without a change of content.
+  kNone,         ///< Older than the known state, or without effect.
 };
 
 inline constexpr std::size_t kRegistryEvents = static_cast<std::size_t>(RegistryEvent::kNone) + 1;
@@ -142,7 +142,7 @@
   bool wasRemovedUnannouncedSince(BackendId id, Time since) const;
 
   /// Discards removed backends and lost evacuations after their retention time.
-  void discardDeparted(Time now);
+  void discardExpired(Time now);
 
   /// @return every registration whose item is in the store.
   std::vector<StoreChange> contents() const;
@@ -196,7 +196,7 @@
   /// @return the current or latest backend at an address, or null.
   const BackendAddress* findLastAt(const Endpoint& endpoint) const;
   /// Records that an item is no longer in the store.
-  void markDeparted(const std::string& key, Entry& entry, Time now);
+  void markRemoved(const std::string& key, Entry& entry, Time now);
   /// Removes an entry from the indexes by service and address.
   void unlink(const std::string& key, const Entry& entry);
   /// @return the candidates of a service; built on first use.
@@ -216,7 +216,7 @@
   std::unordered_map<ServiceId, std::set<std::string>> services_;  ///< Keys of each service.
   std::map<Endpoint, std::set<std::string>> endpoints_;            ///< Keys at each address.
   /// Removal times and keys by service, oldest first, until discarded.
-  std::unordered_map<ServiceId, std::deque<std::pair<Time, std::string>>> departures_;
+  std::unordered_map<ServiceId, std::deque<std::pair<Time, std::string>>> removals_;
   std::vector<BackendId> restarted_;
   ZoneEvacuations evacuations_;
   std::vector<std::string> expired_;         ///< See takeExpiredEvacuations().
--- a/src/core/balancer.cc
+++ b/src/core/balancer.cc
@@ -136,7 +136,7 @@
   const bool returned = !change.isNew && !change.restarted && change.before == MemberState::kDead &&
                         isReachable(change.after);
   if (returned && change.id != options_.self.id) {
-    returnedMembers_.insert(change.id);
+    rejoinedMembers_.insert(change.id);
   }
 }
 
@@ -149,12 +149,12 @@
     eligible_ = std::move(eligible);
     homes_.onEligibleChanged(eligible_, placements_, now);
   }
-  const std::set<MemberId> returned = std::exchange(returnedMembers_, {});
+  const std::set<MemberId> returned = std::exchange(rejoinedMembers_, {});
   if (!returned.empty()) {
     for (auto& [service, placement] : placements_) {
       placement.unsettleMovedBuckets();
     }
-    homes_.onMembersReturned(returned, placements_, now);
+    homes_.onMembersRejoined(returned, placements_, now);
   }
   updatePartition(returned, now);
 }
--- a/src/core/balancer.h
+++ b/src/core/balancer.h
@@ -211,7 +211,7 @@
   bool heardFromEstablishedMember_ = false;  ///< An unfenced one, since the fence closed.
   bool synced_ = false;  ///< An established member has sent its full member list.
   bool membershipChanged_ = false;
-  std::set<MemberId> returnedMembers_;
+  std::set<MemberId> rejoinedMembers_;
   bool reportWhenFenceOpens_ = false;
   bool partitioned_ = false;  ///< All members of some zone are unreachable.
   bool hasSeeds_ = false;     ///< The platform listed other daemons.
--- a/src/core/balancer_routing.cc
+++ b/src/core/balancer_routing.cc
@@ -77,7 +77,7 @@
   if (opening && !listing && !context.placement.isTracked()) {
     return startFlow(context, RouteReason::kNewFlow);
   }
-  const MemberId owner = homes_.ownerToAsk(context.shard);
+  const MemberId owner = homes_.ownerToQuery(context.shard);
   const bool isOwner = owner == options_.self.id || owner == kNoMember;
   const bool arrivedHere = context.arrival.hops > 0 &&
                            homes_.mayDecide(context.shard, context.arrival.hops, context.now);
@@ -111,7 +111,7 @@
     return forward(context, *recorded, RouteReason::kHomeRecord);
   }
   switch (shard.unknownFlowRule(context.now)) {
-    case UnknownFlowRule::kAskFormerHome:
+    case UnknownFlowRule::kQueryFormerHome:
       return forwardToPeer(shard.formerHome(), context);
     case UnknownFlowRule::kDrop:
       return Drop{DropReason::kHomeSyncing};
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -32,7 +32,7 @@
 /// The same for a daemon that joins, knows of peers and receives nothing from them.
 inline constexpr Duration kFenceIsolatedTimeout = 30s;
 /// How long a daemon waits for the other side of a recovered network partition to confirm its view.
-inline constexpr Duration kHealConfirmationTimeout = 500ms;
+inline constexpr Duration kRecoveryConfirmationTimeout = 500ms;
 
 /// Membership protocol period, probe timeouts and suspicion time (SWIM, Das et al. 2002).
 inline constexpr Duration kProbeInterval = 300ms;
--- a/src/core/domains/serving_readiness.cc
+++ b/src/core/domains/serving_readiness.cc
@@ -16,7 +16,7 @@
       return "unreached";
     case ServingReason::kConnected:
       return "connected";
-    case ServingReason::kAnswered:
+    case ServingReason::kResponseReceived:
       return "answered";
     case ServingReason::kNoBackends:
       return "no_backends";
@@ -36,9 +36,9 @@
   }
 }
 
-void ServingReadiness::OnAnswer(Time now)
+void ServingReadiness::OnResponse(Time now)
 {
-  this->SetServing(true, ServingReason::kAnswered, now);
+  this->SetServing(true, ServingReason::kResponseReceived, now);
   this->ClearEvidence();
 }
 
--- a/src/core/domains/serving_readiness.h
+++ b/src/core/domains/serving_readiness.h
@@ -17,12 +17,12 @@
 /// Reason for the current serving state.
 enum class ServingReason : std::uint8_t
 {
-  kInitial,     ///< No change since the start.
-  kUnreachable, ///< Backends are unresponsive and probes timed out.
-  kConnected,   ///< A probe connected.
-  kAnswered,    ///< A backend responded to a client.
-  kNoBackends,  ///< No backends are left to probe.
-  kResumed,     ///< The process was suspended; its evidence was discarded.
+  kInitial,          ///< No change since the start.
+  kUnreachable,      ///< Backends are unresponsive and probes timed out.
+  kConnected,        ///< A probe connected.
+  kResponseReceived, ///< A backend responded to a client.
+  kNoBackends,       ///< No backends are left to probe.
+  kResumed, ///< The process was suspended; its evidence was discarded.
 };
 
 const char* ToString(ServingReason reason);
@@ -65,7 +65,7 @@
   void OnOpening(BackendId backend, ServiceId service, Time now);
 
   /// Records a response to a client by a backend that accepts new flows.
-  void OnAnswer(Time now);
+  void OnResponse(Time now);
 
   /// To be called on every tick.  Discards evidence after a long gap.
   void OnTick(Time now);
--- a/src/core/domains/unreachable_groups.cc
+++ b/src/core/domains/unreachable_groups.cc
@@ -26,9 +26,9 @@
     found->second.DeprioritizedMembers.contains(candidate.id);
 }
 
-void UnreachableGroups::OnAnswer(BackendId backend,
-                                 const BackendGroup& group,
-                                 Time now)
+void UnreachableGroups::OnResponse(BackendId backend,
+                                   const BackendGroup& group,
+                                   Time now)
 {
   const auto found = this->Groups.find(group);
   if (found == this->Groups.end()) {
@@ -51,7 +51,7 @@
                                 Time now)
 {
   if (result == ProbeResult::kConnected) {
-    this->OnAnswer(backend, group, now);
+    this->OnResponse(backend, group, now);
     return false;
   }
   if (!this->Enabled) {
@@ -63,10 +63,10 @@
     state.PendingProbes = kGroupUnreachableThreshold - 1;
     state.NextProbeAt = now + kGroupProbeInterval;
   }
-  state.UnreachedMembers.insert(backend);
+  state.UnreachableMembers.insert(backend);
   state.ExpiresAt = now + kGroupUnreachableTtl;
   return state.DeprioritizedMembers.empty() &&
-    state.UnreachedMembers.size() >= kGroupUnreachableThreshold;
+    state.UnreachableMembers.size() >= kGroupUnreachableThreshold;
 }
 
 void UnreachableGroups::OnNotice(const BackendGroup& group, Time now)
--- a/src/core/domains/unreachable_groups.h
+++ b/src/core/domains/unreachable_groups.h
@@ -51,7 +51,7 @@
                        Time now) const override;
 
   /// Records a response of a backend to a client.
-  void OnAnswer(BackendId backend, const BackendGroup& group, Time now);
+  void OnResponse(BackendId backend, const BackendGroup& group, Time now);
 
   /// Records the result of a probe.
   /// \return true if the group is unreachable; its members then have to be
@@ -98,7 +98,7 @@
   struct GroupState
   {
     /// Members with failed probes since any response or connection.
-    std::set<BackendId> UnreachedMembers;
+    std::set<BackendId> UnreachableMembers;
     /// Empty unless the group is unreachable.
     std::set<BackendId> DeprioritizedMembers;
     Time ExpiresAt{};
--- a/src/core/fence.cc
+++ b/src/core/fence.cc
@@ -34,7 +34,7 @@
 }
 
 void Fence::openAfterTimeout(Time now, bool heardFromPeer) {
-  if (closed_ && !confirmers_.empty() && now - closedAt_ >= kHealConfirmationTimeout) {
+  if (closed_ && !confirmers_.empty() && now - closedAt_ >= kRecoveryConfirmationTimeout) {
     closed_ = false;
   }
   if (closed_ && !heardFromPeer && now - closedAt_ >= kFencePeerTimeout) {
--- a/src/core/opening_pacer.h
+++ b/src/core/opening_pacer.h
@@ -22,8 +22,8 @@
 
   /// Records a connection attempt. @param capacity requests that the backend handles concurrently.
   void onOpening(BackendId backend, std::uint32_t capacity, Time now) {
-    Time& freeAt = availableAt_[backend];
-    freeAt = std::max(freeAt, now) + kOpeningPacingInterval / capacity;
+    Time& availableAt = availableAt_[backend];
+    availableAt = std::max(availableAt, now) + kOpeningPacingInterval / capacity;
   }
 
   void expire(Time now) {
--- a/src/core/outbox.cc
+++ b/src/core/outbox.cc
@@ -24,7 +24,7 @@
 void Outbox::onTick(Time now) {
   for (auto it = pending_.begin(); it != pending_.end();) {
     Pending& pending = it->second;
-    if (now >= pending.giveUpAt) {
+    if (now >= pending.deadline) {
       ++abandonedCount_;
       it = pending_.erase(it);
       continue;
--- a/src/core/outbox.h
+++ b/src/core/outbox.h
@@ -35,7 +35,7 @@
   struct Pending {
     OutgoingMessage message;
     Time nextSend{};
-    Time giveUpAt{};
+    Time deadline{};
   };
 
   std::vector<OutgoingMessage> ready_;
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -53,10 +53,10 @@
     return ScoredBackend{};
   }
   for (const ServiceId service : services) {
-    const Candidates vanished = this->Inputs.Backends.unannouncedRemovalsSince(
+    const Candidates removed = this->Inputs.Backends.unannouncedRemovalsSince(
       service, now - kUnannouncedRemovalGracePeriod);
     const ScoredBackend best =
-      this->ChooseAllowed(vanished, route, avoided, now);
+      this->ChooseAllowed(removed, route, avoided, now);
     if (best.Id != kNoBackend) {
       return best;
     }
--- a/src/core/relay/relay_timing.h
+++ b/src/core/relay/relay_timing.h
@@ -17,9 +17,9 @@
 {
   Duration WatchWait = kWatchMaxWait;
   Duration CurrentFor = kViewFreshnessPeriod;
-  Duration AskPeersAfter = kPeerQueryViewAge;
-  Duration SeedReadsAfter = kSeedReadViewAge;
-  Duration FollowerReadsAfter = kFollowerReadViewAge;
+  Duration PeerQueryViewAge = kPeerQueryViewAge;
+  Duration SeedReadViewAge = kSeedReadViewAge;
+  Duration FollowerReadViewAge = kFollowerReadViewAge;
   Duration CoveredRetryInterval = kReadBackoffWithSeed;
   /// How long a view waits for a peer's changes before listing again after the
   /// store discarded its history.  Half of what the bound leaves beyond
--- a/src/core/relay/seed_group.cc
+++ b/src/core/relay/seed_group.cc
@@ -43,7 +43,8 @@
   }
   const Duration age(static_cast<Duration::rep>(update.clockUs) -
                      static_cast<Duration::rep>(update.confirmedUs));
-  const bool isFailing = age >= timing.SeedReadsAfter + kSeedReadAttemptWindow;
+  const bool isFailing =
+    age >= timing.SeedReadViewAge + kSeedReadAttemptWindow;
   this->StoreFailureAt = isFailing ? now : Time{};
 }
 
--- a/src/core/relay/view_relay.cc
+++ b/src/core/relay/view_relay.cc
@@ -60,8 +60,8 @@
 
 Duration ViewRelay::GetReadThreshold() const
 {
-  return this->Seeds.IsSelfSeed() ? this->Timing.SeedReadsAfter
-                                  : this->Timing.FollowerReadsAfter;
+  return this->Seeds.IsSelfSeed() ? this->Timing.SeedReadViewAge
+                                  : this->Timing.FollowerReadViewAge;
 }
 
 void ViewRelay::UpdateReaderActivity()
@@ -134,7 +134,7 @@
     this->Fleet.OnCount(this->Followers.CountSubtree(), now);
   }
   const Duration age = now - this->Reader.confirmedAt();
-  if (this->Upstream && age >= this->Timing.AskPeersAfter) {
+  if (this->Upstream && age >= this->Timing.PeerQueryViewAge) {
     this->StopFollowing();
   }
   this->UpdateReaderBackOff(peers.size(), now);
@@ -183,9 +183,9 @@
   const Endpoint* nearest = &selectRandom();
   for (std::size_t i = 1; i < kPeerSampleSize; ++i) {
     const Endpoint& other = selectRandom();
-    const bool isNearer = CountCommonPrefixBytes(other, this->Self) >
+    const bool isCloser = CountCommonPrefixBytes(other, this->Self) >
       CountCommonPrefixBytes(*nearest, this->Self);
-    nearest = isNearer && other != this->Self ? &other : nearest;
+    nearest = isCloser && other != this->Self ? &other : nearest;
   }
   return *nearest;
 }
--- a/src/core/relay/view_relay_updates.cc
+++ b/src/core/relay/view_relay_updates.cc
@@ -44,7 +44,7 @@
   const Revision before = this->Reader.revision();
   if (before == 0) {
     // A fresh view on a peer implies that the store is available now.
-    if (now - *confirmed < this->Timing.AskPeersAfter) {
+    if (now - *confirmed < this->Timing.PeerQueryViewAge) {
       this->Reader.expediteRead(now);
     }
     return UpdateOutcome::kUnusable;
@@ -115,7 +115,7 @@
 void ViewRelay::FollowSender(const ViewUpdate& update, Time now)
 {
   const bool isFresh =
-    now - this->Reader.confirmedAt() < this->Timing.AskPeersAfter;
+    now - this->Reader.confirmedAt() < this->Timing.PeerQueryViewAge;
   const bool isRankedHigher = update.readerRank < this->OwnRank;
   if (!isFresh || (!isRankedHigher && !this->Reader.isFailing())) {
     return;
--- a/src/core/route_table.cc
+++ b/src/core/route_table.cc
@@ -38,18 +38,18 @@
     return delta;
   }
   // If routes share an address, the last one applies.
-  std::unordered_map<Endpoint, const Route*, EndpointHash> wanted;
+  std::unordered_map<Endpoint, const Route*, EndpointHash> routesByEndpoint;
   for (const Route& route : routes.routes) {
-    wanted.insert_or_assign(route.endpoint, &route);
+    routesByEndpoint.insert_or_assign(route.endpoint, &route);
   }
-  for (const auto& [endpoint, route] : wanted) {
+  for (const auto& [endpoint, route] : routesByEndpoint) {
     const auto known = routes_.find(endpoint);
     if (known == routes_.end() || known->second.route != *route) {
       delta.changed.push_back(*route);
     }
   }
   for (const auto& [endpoint, entry] : routes_) {
-    if (!wanted.contains(endpoint)) {
+    if (!routesByEndpoint.contains(endpoint)) {
       delta.dropped.push_back(endpoint);
     }
   }
--- a/src/core/shard_homes.cc
+++ b/src/core/shard_homes.cc
@@ -41,7 +41,7 @@
   return isHome(key) || owners(key).replica == membership_.self().id;
 }
 
-MemberId ShardHomes::ownerToAsk(const ShardKey& key) const {
+MemberId ShardHomes::ownerToQuery(const ShardKey& key) const {
   const ShardOwners current = owners(key);
   const Member* home = membership_.members().find(current.home);
   const bool suspect = home != nullptr && home->state == MemberState::kSuspect;
@@ -179,7 +179,7 @@
       now);
 }
 
-void ShardHomes::onMembersReturned(const std::set<MemberId>& returned,
+void ShardHomes::onMembersRejoined(const std::set<MemberId>& returned,
                                    const PlacementMap& placements, Time now) {
   for (auto& [key, shard] : states_) {
     if (owns(key)) {
--- a/src/core/shard_homes.h
+++ b/src/core/shard_homes.h
@@ -41,7 +41,7 @@
 
   /// Call when dead members become reachable again, after a network partition or a suspension: each
   /// side may have accepted flows that the other does not know.
-  void onMembersReturned(const std::set<MemberId>& returned, const PlacementMap& placements,
+  void onMembersRejoined(const std::set<MemberId>& returned, const PlacementMap& placements,
                          Time now);
 
   /// Call after this process was suspended: waits for the replicas to hand over their records.
@@ -60,7 +60,7 @@
 
   ShardOwners owners(const ShardKey& key) const;
   /// @return the owner to forward to: the home, or the replica while the home is suspect.
-  MemberId ownerToAsk(const ShardKey& key) const;
+  MemberId ownerToQuery(const ShardKey& key) const;
   /// @return true if this daemon may decide flows of the shard that arrived after `hops` hops.
   bool mayDecide(const ShardKey& key, std::uint8_t hops, Time now) const;
 
--- a/src/core/shard_state.cc
+++ b/src/core/shard_state.cc
@@ -169,7 +169,7 @@
     case Authority::kNone:
       return UnknownFlowRule::kDrop;
     case Authority::kAwaitsHandover:
-      return UnknownFlowRule::kAskFormerHome;
+      return UnknownFlowRule::kQueryFormerHome;
     case Authority::kAwaitsListing:
       if (!pendingListing_.isOver(now)) {
         return UnknownFlowRule::kDrop;
--- a/src/core/shard_state.h
+++ b/src/core/shard_state.h
@@ -24,10 +24,10 @@
 
 /// How an owner treats a flow without a record.
 enum class UnknownFlowRule : std::uint8_t {
-  kIsNew,          ///< All old flows are recorded, so the flow is new.
-  kAssumeOld,      ///< Buckets moved recently; the flow may belong to the previous backend.
-  kDrop,           ///< Records may be missing: drop the packet and let the client retransmit.
-  kAskFormerHome,  ///< The former home has the records until the handover is complete.
+  kIsNew,            ///< All old flows are recorded, so the flow is new.
+  kAssumeOld,        ///< Buckets moved recently; the flow may belong to the previous backend.
+  kDrop,             ///< Records may be missing: drop the packet and let the client retransmit.
+  kQueryFormerHome,  ///< The former home has the records until the handover is complete.
 };
 
 class ShardState {
--- a/src/core/store_read.cc
+++ b/src/core/store_read.cc
@@ -4,7 +4,7 @@
 
 const char* toString(ReadOutcome outcome) {
   switch (outcome) {
-    case ReadOutcome::kAnswered:
+    case ReadOutcome::kSucceeded:
       return "answered";
     case ReadOutcome::kHistoryGone:
       return "history_gone";
--- a/src/core/store_read.h
+++ b/src/core/store_read.h
@@ -39,7 +39,7 @@
 };
 
 enum class ReadOutcome : std::uint8_t {
-  kAnswered,
+  kSucceeded,
   kHistoryGone,     ///< The watch starts before the history that the store keeps.
   kThrottled,       ///< Too many reads.
   kUnavailable,     ///< The store reported that the request was not executed.
@@ -54,7 +54,7 @@
 
 /// The result of a read.
 struct StoreReply {
-  ReadOutcome outcome = ReadOutcome::kAnswered;
+  ReadOutcome outcome = ReadOutcome::kSucceeded;
   std::string reason;     ///< Of a failure.
   Revision revision = 0;  ///< The store's revision; for a failure only its era is set.
   bool hasMore = false;
--- a/src/core/store_reader.cc
+++ b/src/core/store_reader.cc
@@ -82,7 +82,7 @@
 
 ReadOutcome StoreReader::classifyReply(const StoreReply& reply, PendingRead answered) const {
   const bool isFailure =
-      reply.outcome != ReadOutcome::kAnswered && reply.outcome != ReadOutcome::kHistoryGone;
+      reply.outcome != ReadOutcome::kSucceeded && reply.outcome != ReadOutcome::kHistoryGone;
   if (isFailure) {
     return reply.outcome;
   }
@@ -111,12 +111,12 @@
     onHistoryGone(now);
     return outcome;
   }
-  if (outcome != ReadOutcome::kAnswered) {
+  if (outcome != ReadOutcome::kSucceeded) {
     onFailure(outcome, now);
     return outcome;
   }
   failuresInRow_ = 0;
-  lastAnswerAt_ = now;
+  lastReplyAt_ = now;
   if (answered == PendingRead::kMissingPage) {
     onBackfillPage(reply, now);
   } else if (listing_) {
@@ -129,7 +129,7 @@
 
 void StoreReader::onHistoryGone(Time now) {
   ++counters_.historyGone;
-  lastAnswerAt_ = now;
+  lastReplyAt_ = now;
   historyGoneAt_ = now;
   beginListing();
   if (synchronized_) {
@@ -220,10 +220,11 @@
   const bool changed = changes != 0;
   const bool isInBurst = changed && lastChangeAt_ != Time{} && now - lastChangeAt_ < kBurstGap;
   lastChangeAt_ = changed ? now : lastChangeAt_;
-  const bool isWanted = backendNeededAt_ != Time{} && now - backendNeededAt_ < kUrgentChangeWindow;
+  const bool isBackendNeeded =
+      backendNeededAt_ != Time{} && now - backendNeededAt_ < kUrgentChangeWindow;
   // A response as large as a page may be followed by more changes.
   const bool hasMore = changes >= kStorePageItems / 2;
-  if (isWanted || urgent_ || hasMore || isBackfilling()) {
+  if (isBackendNeeded || urgent_ || hasMore || isBackfilling()) {
     return 0ms;
   }
   if (isInBurst) {
@@ -356,8 +357,8 @@
 }
 
 Duration StoreReader::backOffAfter(ReadOutcome outcome) {
-  const bool isPatient = synchronized_ || outcome == ReadOutcome::kThrottled;
-  const Duration maxDelay = isPatient ? kMaxReadBackoff : startupBackOff_;
+  const bool allowsLongBackoff = synchronized_ || outcome == ReadOutcome::kThrottled;
+  const Duration maxDelay = allowsLongBackoff ? kMaxReadBackoff : startupBackOff_;
   const std::uint32_t doublings = std::min<std::uint32_t>(failuresInRow_, kMaxReadTimeoutDoublings);
   return randomDelay(std::min<Duration>(kReadBackoff * (1U << doublings), maxDelay));
 }
--- a/src/core/store_reader.h
+++ b/src/core/store_reader.h
@@ -143,7 +143,7 @@
   void setUrgent(bool urgent) { urgent_ = urgent; }
 
   /// Records that part of a response arrived.
-  void onProgress(Time now) { lastAnswerAt_ = now; }
+  void onProgress(Time now) { lastReplyAt_ = now; }
 
   /// Records that a packet could not be routed for lack of a backend, which makes changes urgent.
   /// Before the first view is synchronized, only that view is urgent.
@@ -158,7 +158,7 @@
   bool isFailing() const { return failuresInRow_ > 0; }
   /// @return true if the store rejected the last read and has sent nothing since. Timeouts do not
   /// count.
-  bool wasRejected() const { return rejectedAt_ > lastAnswerAt_; }
+  bool wasRejected() const { return rejectedAt_ > lastReplyAt_; }
   /// @return when the view was last known to match the store; zero if never.
   Time confirmedAt() const { return confirmedAt_; }
 
@@ -193,7 +193,7 @@
   /// @return the latest era seen from the store or a peer.
   StoreEra storeEra() const { return std::max(storeEra_, revision_.era); }
   /// @return when the store last responded; zero before the first response.
-  Time lastAnswerAt() const { return lastAnswerAt_; }
+  Time lastReplyAt() const { return lastReplyAt_; }
   const StoreReaderCounters& counters() const { return counters_; }
 
  private:
@@ -260,7 +260,7 @@
   bool confirming_ = false;             ///< The last watch was lost and may have missed changes.
   Time nextReadAt_{};
   Time deferredReadAt_{};  ///< Lower bound if other daemons read as well and nothing is urgent.
-  Time lastAnswerAt_{};
+  Time lastReplyAt_{};
   Time historyGoneAt_{};
   Time rejectedAt_{};
   Time confirmedAt_{};
--- a/src/core/token_failure_domains.cc
+++ b/src/core/token_failure_domains.cc
@@ -54,14 +54,14 @@
 void TokenSteering::recordDomainResponse(BackendId backend, Time now) {
   // Backends of evacuated zones do not count, because they accept no new flows.
   if (backends_.takesNewFlows(backend)) {
-    serving_.OnAnswer(now);
+    serving_.OnResponse(now);
     updateReachability();
   }
   if (unreachableGroups_.IsEmpty()) {
     return;
   }
   if (const PlacementCandidate* candidate = backends_.findCandidate(backend)) {
-    unreachableGroups_.OnAnswer(backend, {candidate->service, candidate->zone}, now);
+    unreachableGroups_.OnResponse(backend, {candidate->service, candidate->zone}, now);
   }
 }
 
--- a/src/core/token_steering.cc
+++ b/src/core/token_steering.cc
@@ -115,7 +115,7 @@
 }
 
 void TokenSteering::recordResponse(TokenFlow& flow, const BackendAddress& backend, Time now) {
-  health_.onAnswer(flow.backend, now);
+  health_.onResponse(flow.backend, now);
   recordDomainResponse(flow.backend, now);
   if (outliers_ != nullptr && !flow.dataAcknowledged) {
     outliers_->OnResponse();
@@ -286,7 +286,7 @@
     admission_->Expire(now);
   }
   resetFlowsOfEndedBackends();
-  backends_.discardDeparted(now);
+  backends_.discardExpired(now);
   routes_.discardRemoved(now, options_.longestFlow);
 }
 
--- a/src/core/view_exchange.cc
+++ b/src/core/view_exchange.cc
@@ -49,7 +49,7 @@
     return true;
   }
   if (!reader_.isSynchronized()) {
-    return now - std::max(startedAt_, reader_.lastAnswerAt()) >= kStoreStartupTimeout;
+    return now - std::max(startedAt_, reader_.lastReplyAt()) >= kStoreStartupTimeout;
   }
   return now - lastCurrentAt_ >= kStoreSilenceTimeout;
 }
@@ -137,10 +137,10 @@
     return false;
   }
   if (transfer.revision <= reader_.revision()) {
-    ++counters_.viewsOlder;
+    ++counters_.outdatedViews;
     return false;
   }
-  ++counters_.viewsTaken;
+  ++counters_.viewsApplied;
   RouteSet routes;
   routes.version = transfer.version;
   routes.idleTimeout = std::chrono::milliseconds(transfer.idleTimeoutMs);
--- a/src/core/view_exchange.h
+++ b/src/core/view_exchange.h
@@ -30,8 +30,8 @@
 struct ViewExchangeCounters {
   std::uint64_t requestsSent = 0;
   std::uint64_t requestsAnswered = 0;
-  std::uint64_t viewsTaken = 0;
-  std::uint64_t viewsOlder = 0;
+  std::uint64_t viewsApplied = 0;
+  std::uint64_t outdatedViews = 0;
 };
 
 class ViewExchange {
--- a/src/core/warmup/warm_up_budget.cc
+++ b/src/core/warmup/warm_up_budget.cc
@@ -20,11 +20,11 @@
 {
   const std::uint32_t daemons = std::max(this->DaemonCount, 1U);
   const double share = perSecond * kWarmUpShare / daemons;
-  const double wholeShare = std::floor(share);
+  const double integerPart = std::floor(share);
   const std::uint64_t hash =
     mixHash(this->DaemonId, static_cast<std::uint64_t>(backend));
-  const bool roundsUp = ToFraction(hash) < share - wholeShare;
-  return static_cast<std::uint32_t>(wholeShare) + (roundsUp ? 1 : 0);
+  const bool roundsUp = ToFraction(hash) < share - integerPart;
+  return static_cast<std::uint32_t>(integerPart) + (roundsUp ? 1 : 0);
 }
 
 bool WarmUpBudget::AllowsOpening(BackendId backend,
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -300,7 +300,7 @@
   if (read.kind == core::StoreRead::Kind::kList) {
     latencies_.onStoreReply(latency);
   }
-  const bool answered = reply.outcome == core::ReadOutcome::kAnswered ||
+  const bool answered = reply.outcome == core::ReadOutcome::kSucceeded ||
                         reply.outcome == core::ReadOutcome::kHistoryGone;
   if (answered == storeReachable_) {
     return;
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -140,7 +140,7 @@
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetExchange().counters().requestsAnswered); }},
       {"cobaltgauge_views_taken_total", "Views of peers applied", nullptr, MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetExchange().counters().viewsTaken); }},
+       [](const Sources& s) { return single(s.peers.GetExchange().counters().viewsApplied); }},
       {"cobaltgauge_view_whole", "1 if the view contains every backend, 0 if it is a sample",
        nullptr, MetricType::Gauge,
        [](const Sources& s) { return single(s.reader.hasAllBackends()); }},
--- a/tests/core/backend_health_test.cc
+++ b/tests/core/backend_health_test.cc
@@ -27,7 +27,7 @@
   BOOST_TEST(!health.isSuspected(kBackendA, now + core::kResponseTimeout));
   now += core::kResponseTimeout + 1ms;
   BOOST_TEST(health.isSuspected(kBackendA, now));
-  health.onAnswer(kBackendA, now);
+  health.onResponse(kBackendA, now);
   BOOST_TEST(!health.isSuspected(kBackendA, now));
 }
 
@@ -48,7 +48,7 @@
   now += 200ms;
   BOOST_TEST(health.takeProbes(kBackendCount, now).size() == 1U);
   now += 100ms;
-  health.onAnswer(kBackendA, now);
+  health.onResponse(kBackendA, now);
   now += 50ms;
   health.onOpening(kBackendA, now);
   now += 170ms;
@@ -70,12 +70,12 @@
   health.onOpening(kBackendA, now);
   now += 200ms;
   health.takeProbes(kBackendCount, now);
-  health.onAnswer(kBackendA, now);
+  health.onResponse(kBackendA, now);
   BOOST_TEST(!health.onProbe(kBackendA, ProbeResult::kTimedOut, now));
   BOOST_TEST(!health.isDead(kBackendA));
 }
 
-BOOST_AUTO_TEST_CASE(connected_probe_revives_dead_backend) {
+BOOST_AUTO_TEST_CASE(connected_probe_clears_dead_state) {
   health.onOpening(kBackendA, now);
   now += 200ms;
   health.takeProbes(kBackendCount, now);
--- a/tests/core/backend_registry_test.cc
+++ b/tests/core/backend_registry_test.cc
@@ -33,7 +33,7 @@
   BOOST_TEST((registry.remove("servers/1", 5, now) == RegistryEvent::kRemoved));
   BOOST_TEST((registry.remove("servers/1", 6, now) == RegistryEvent::kNone));
   item.state = core::BackendState::kActive;
-  BOOST_TEST((registry.put("servers/1", item, 7, now) == RegistryEvent::kReturned));
+  BOOST_TEST((registry.put("servers/1", item, 7, now) == RegistryEvent::kReactivated));
 }
 
 BOOST_AUTO_TEST_CASE(older_item_does_not_restore_removed_backend) {
@@ -48,8 +48,8 @@
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 1, now);
   registry.put("servers/2", makeRegistration(2, "web", 1, 2), 2, now);
   registry.put("servers/3", makeRegistration(3, "web", 1, 3), 9, now);
-  const std::vector<std::string> vanished = registry.retainOnly({"servers/1"}, 5, now);
-  BOOST_TEST(vanished == std::vector<std::string>{"servers/2"});
+  const std::vector<std::string> removed = registry.retainOnly({"servers/1"}, 5, now);
+  BOOST_TEST(removed == std::vector<std::string>{"servers/2"});
   BOOST_TEST(registry.candidates(web).size() == 2U);
 }
 
@@ -134,7 +134,7 @@
   BOOST_TEST(registry.activeCount() == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(vanished_backends_are_reported_by_last_removal) {
+BOOST_AUTO_TEST_CASE(unannounced_removals_are_reported_by_last_removal) {
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 1, now);
   registry.remove("servers/1", 2, now);
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 3, now + 1s);
@@ -197,12 +197,12 @@
   BOOST_TEST(!registry.isSuperseded(BackendId{2}));
 }
 
-BOOST_AUTO_TEST_CASE(removed_backends_are_forgotten_after_retention) {
+BOOST_AUTO_TEST_CASE(removed_backends_are_discarded_after_retention) {
   registry.put("servers/1", makeRegistration(1, "web", 1, 1), 1, now);
   registry.remove("servers/1", 2, now);
-  registry.discardDeparted(now + 59s);
+  registry.discardExpired(now + 59s);
   BOOST_TEST(registry.size() == 1U);
-  registry.discardDeparted(now + 60s);
+  registry.discardExpired(now + 60s);
   BOOST_TEST(registry.size() == 0U);
 }
 
--- a/tests/core/domains/partitioned_zone_test.cc
+++ b/tests/core/domains/partitioned_zone_test.cc
@@ -93,7 +93,7 @@
 }
 
 // Established flows keep their backends, which are still reachable.
-BOOST_AUTO_TEST_CASE(answers_on_flows_of_an_evacuated_zone_do_not_count)
+BOOST_AUTO_TEST_CASE(responses_on_flows_of_an_evacuated_zone_do_not_count)
 {
   BackendId backend = core::kNoBackend;
   while (backend == core::kNoBackend || IsFar(backend)) {
--- a/tests/core/domains/serving_readiness_test.cc
+++ b/tests/core/domains/serving_readiness_test.cc
@@ -87,11 +87,11 @@
   BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 1U);
 }
 
-BOOST_AUTO_TEST_CASE(any_answer_keeps_it_serving)
+BOOST_AUTO_TEST_CASE(any_response_keeps_daemon_serving)
 {
   for (int turn = 0; turn < 50; ++turn) {
     this->Open(100ms, ProbeResult::kTimedOut);
-    this->Readiness.OnAnswer(this->Now);
+    this->Readiness.OnResponse(this->Now);
   }
   BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 0U);
 }
@@ -101,7 +101,7 @@
 {
   this->Readiness.OnOpening(BackendId{ 500 }, kSecond, this->Now);
   this->Tick(10ms);
-  this->Readiness.OnAnswer(this->Now);
+  this->Readiness.OnResponse(this->Now);
   for (int turn = 0; turn < 40; ++turn) {
     this->Readiness.OnOpening(
       BackendId{ 1 + this->Opened++ }, kFirst, this->Now);
@@ -124,7 +124,7 @@
   BOOST_TEST(this->Readiness.GetCounters().StoppedServing == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(one_silent_backend_does_not_stop_serving)
+BOOST_AUTO_TEST_CASE(one_unresponsive_backend_does_not_stop_serving)
 {
   for (int turn = 0; turn < 40; ++turn) {
     this->Readiness.OnOpening(BackendId{ 1 }, kFirst, this->Now);
@@ -143,10 +143,10 @@
   BOOST_TEST((this->Readiness.GetReason() == ServingReason::kConnected));
 }
 
-BOOST_AUTO_TEST_CASE(resumes_serving_when_a_client_is_answered)
+BOOST_AUTO_TEST_CASE(resumes_serving_when_a_client_gets_a_response)
 {
   this->StopServing();
-  this->Readiness.OnAnswer(this->Now);
+  this->Readiness.OnResponse(this->Now);
   BOOST_TEST(this->Readiness.IsServing());
 }
 
@@ -217,7 +217,7 @@
   this->StopServing();
   otherDaemon.OnOpening(BackendId{ 1 }, kFirst, this->Now);
   otherDaemon.OnTick(this->Now);
-  otherDaemon.OnAnswer(this->Now + 5ms);
+  otherDaemon.OnResponse(this->Now + 5ms);
   BOOST_TEST(otherDaemon.IsServing());
   BOOST_TEST(otherDaemon.TakeProbes(this->Now + 1s).empty());
 }
--- a/tests/core/domains/unreachable_groups_test.cc
+++ b/tests/core/domains/unreachable_groups_test.cc
@@ -107,11 +107,11 @@
   BOOST_TEST(this->Groups.CountUnreachable(this->Now) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(answer_resets_the_count)
+BOOST_AUTO_TEST_CASE(response_resets_the_count)
 {
   this->OnProbe(1, ProbeResult::kRefused);
   this->OnProbe(2, ProbeResult::kRefused);
-  this->Groups.OnAnswer(BackendId{ 3 }, kGroup, this->Now);
+  this->Groups.OnResponse(BackendId{ 3 }, kGroup, this->Now);
   this->OnProbe(4, ProbeResult::kRefused);
   this->OnProbe(5, ProbeResult::kRefused);
   BOOST_TEST(this->Groups.CountUnreachable(this->Now) == 0U);
@@ -125,10 +125,10 @@
   BOOST_TEST(this->Groups.CountUnreachable(this->Now) == 0U);
 }
 
-BOOST_AUTO_TEST_CASE(one_answer_restores_the_group)
+BOOST_AUTO_TEST_CASE(one_response_restores_the_group)
 {
   this->DetectGroup();
-  this->Groups.OnAnswer(BackendId{ 17 }, kGroup, this->Now);
+  this->Groups.OnResponse(BackendId{ 17 }, kGroup, this->Now);
   BOOST_TEST(!this->IsDeprioritized(1));
   BOOST_TEST(this->Groups.GetCounters().Recovered == 1U);
 }
@@ -137,7 +137,7 @@
 {
   this->DetectGroup();
   BOOST_TEST(!this->IsDeprioritized(kMembers + 1));
-  this->Groups.OnAnswer(BackendId{ kMembers + 1 }, kGroup, this->Now);
+  this->Groups.OnResponse(BackendId{ kMembers + 1 }, kGroup, this->Now);
   BOOST_TEST(this->IsDeprioritized(1));
 }
 
@@ -238,7 +238,7 @@
       const auto action = static_cast<std::uint64_t>(step) / kMembers;
       daemon.Now += 7ms;
       if (action == 0) {
-        daemon.Groups.OnAnswer(BackendId{ id }, kGroup, daemon.Now);
+        daemon.Groups.OnResponse(BackendId{ id }, kGroup, daemon.Now);
         RC_ASSERT(!daemon.IsDeprioritized(id));
       } else {
         daemon.OnProbe(
--- a/tests/core/load/load_meter_test.cc
+++ b/tests/core/load/load_meter_test.cc
@@ -169,9 +169,9 @@
   const core::LoadKey key{ core::serviceIdOf("web"), core::zoneIdOf("a") };
   core::BackendRegistry& backends = this->steering.backends();
   BOOST_TEST(backends.countSlots(this->now).at(key) == 6U);
-  core::Registration cold = makeRegistration(4, "web", 1, 4);
-  cold.remainingWarmUp = 2s;
-  this->putBackend(4, cold);
+  core::Registration warmingUp = makeRegistration(4, "web", 1, 4);
+  warmingUp.remainingWarmUp = 2s;
+  this->putBackend(4, warmingUp);
   BOOST_TEST(backends.countSlots(this->now).at(key) == 6U);
   BOOST_TEST(backends.countSlots(this->now + 3s).at(key) == 8U);
   backends.putEvacuation("op/evacuate/a", "a", ++this->revision);
--- a/tests/core/probe/witness_selection_test.cc
+++ b/tests/core/probe/witness_selection_test.cc
@@ -33,7 +33,7 @@
   void RecordResponse(std::uint64_t id)
   {
     this->now += 1ms;
-    this->Health.onAnswer(BackendId{ id }, this->now);
+    this->Health.onResponse(BackendId{ id }, this->now);
   }
 };
 
--- a/tests/core/registration_order_test.cc
+++ b/tests/core/registration_order_test.cc
@@ -59,7 +59,7 @@
   BOOST_TEST(takesNewFlows());
 }
 
-BOOST_AUTO_TEST_CASE(late_older_statement_is_ignored) {
+BOOST_AUTO_TEST_CASE(late_older_update_is_ignored) {
   startedAtMs = 5;
   putRegistration(BackendState::kActive, 10, 20);
   putRegistration(BackendState::kDraining, 12, 21);
@@ -68,7 +68,7 @@
 }
 
 // It has started again under its id, and begins its numbers anew.
-BOOST_AUTO_TEST_CASE(restarted_statement_numbers_are_accepted) {
+BOOST_AUTO_TEST_CASE(restarted_update_sequence_is_accepted) {
   putRegistration(BackendState::kActive, 10, 20);
   BOOST_TEST((putRegistration(BackendState::kDraining, 1, 21) == RegistryEvent::kDraining));
   startedAtMs = 5;
--- a/tests/core/relay/peer_clocks_test.cc
+++ b/tests/core/relay/peer_clocks_test.cc
@@ -48,7 +48,7 @@
   BOOST_TEST((*confirmed == 99s - 300ms));
 }
 
-BOOST_AUTO_TEST_CASE(peer_without_answer_has_unknown_clock)
+BOOST_AUTO_TEST_CASE(peer_without_response_has_unknown_clock)
 {
   core::ViewUpdate push = this->Answer(100s, 100s, 99s);
   push.echoUs = 0;
@@ -56,7 +56,7 @@
   BOOST_TEST(!this->Clocks.GetConfirmedAt(push, 100s).has_value());
 }
 
-BOOST_AUTO_TEST_CASE(late_answer_is_ignored)
+BOOST_AUTO_TEST_CASE(late_response_is_ignored)
 {
   const core::ViewUpdate late = this->Answer(100s, 100s, 99s);
   const core::Time now = 100s + core::kSubscriptionLease + 1ms;
--- a/tests/core/relay/relay_changes_test.cc
+++ b/tests/core/relay/relay_changes_test.cc
@@ -115,7 +115,7 @@
 
 // An outdated response without changes must not advance a view past changes
 // that it lacks.
-BOOST_AUTO_TEST_CASE(answer_without_changes_does_not_advance_the_view)
+BOOST_AUTO_TEST_CASE(response_without_changes_does_not_advance_the_view)
 {
   this->Run(5s);
   Node& peer = *this->Readers()[0];
--- a/tests/core/relay/relay_fixture.h
+++ b/tests/core/relay/relay_fixture.h
@@ -154,7 +154,7 @@
       // A watch from a discarded revision fails immediately.
       const bool mayWait =
         node.Pending->kind == core::StoreRead::Kind::kWatch &&
-        reply->outcome == core::ReadOutcome::kAnswered;
+        reply->outcome == core::ReadOutcome::kSucceeded;
       if (mayWait && reply->changes.empty() && waited < node.Pending->wait) {
         reply.reset();
       }
--- a/tests/core/relay/seed_group_test.cc
+++ b/tests/core/relay/seed_group_test.cc
@@ -25,7 +25,7 @@
     this->Seeds.OnTick(this->Now);
   }
 
-  core::ViewUpdate AnswerWithViewAge(core::Duration age) const
+  core::ViewUpdate ResponseWithViewAge(core::Duration age) const
   {
     core::ViewUpdate update;
     update.sender = this->First;
@@ -64,34 +64,35 @@
   this->Now += core::kSeedLivenessWindow;
   this->Seeds.OnTick(this->Now);
   BOOST_TEST(!this->Seeds.HasReachableSeed(this->Now));
-  this->Seeds.OnUpdate(this->AnswerWithViewAge(0s), this->Timing, this->Now);
+  this->Seeds.OnUpdate(this->ResponseWithViewAge(0s), this->Timing, this->Now);
   BOOST_TEST(this->Seeds.HasReachableSeed(this->Now));
 }
 
 BOOST_AUTO_TEST_CASE(old_view_of_a_seed_indicates_a_failing_store)
 {
   const core::Duration limit =
-    this->Timing.SeedReadsAfter + core::kSeedReadAttemptWindow;
+    this->Timing.SeedReadViewAge + core::kSeedReadAttemptWindow;
   this->Seeds.OnUpdate(
-    this->AnswerWithViewAge(limit - 1ms), this->Timing, this->Now);
+    this->ResponseWithViewAge(limit - 1ms), this->Timing, this->Now);
   BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now));
   this->Seeds.OnUpdate(
-    this->AnswerWithViewAge(limit), this->Timing, this->Now);
+    this->ResponseWithViewAge(limit), this->Timing, this->Now);
   BOOST_TEST(this->Seeds.IsStoreFailing(this->Now));
   // The failure state expires, and ends early when a seed is served again.
   BOOST_TEST(
     !this->Seeds.IsStoreFailing(this->Now + core::kSeedLivenessWindow));
-  this->Seeds.OnUpdate(this->AnswerWithViewAge(10ms), this->Timing, this->Now);
+  this->Seeds.OnUpdate(
+    this->ResponseWithViewAge(10ms), this->Timing, this->Now);
   BOOST_TEST(!this->Seeds.IsStoreFailing(this->Now));
 }
 
 BOOST_AUTO_TEST_CASE(unrelated_updates_do_not_indicate_a_failing_store)
 {
-  core::ViewUpdate pushed = this->AnswerWithViewAge(10s);
+  core::ViewUpdate pushed = this->ResponseWithViewAge(10s);
   pushed.echoUs = 0;
-  core::ViewUpdate part = this->AnswerWithViewAge(10s);
+  core::ViewUpdate part = this->ResponseWithViewAge(10s);
   part.confirmedUs = 0;
-  core::ViewUpdate fromNonSeed = this->AnswerWithViewAge(10s);
+  core::ViewUpdate fromNonSeed = this->ResponseWithViewAge(10s);
   fromNonSeed.sender = endpoint(9, 30, 7720);
   for (const core::ViewUpdate& update : { pushed, part, fromNonSeed }) {
     this->Seeds.OnUpdate(update, this->Timing, this->Now);
--- a/tests/core/relay/store_era_stateful_test.cc
+++ b/tests/core/relay/store_era_stateful_test.cc
@@ -347,7 +347,7 @@
       this->Step();
       for (auto& node : this->Nodes) {
         if (node->Alive) {
-          node->Backends.discardDeparted(node->Clock(this->Now));
+          node->Backends.discardExpired(node->Clock(this->Now));
         }
       }
     }
--- a/tests/core/relay/view_difference_test.cc
+++ b/tests/core/relay/view_difference_test.cc
@@ -132,7 +132,7 @@
   BOOST_TEST(this->KeysSince(19).size() == 3U);
   this->Backends.putEvacuation("op/evacuate/a", "a", 23);
   BOOST_TEST(this->KeysSince(19).size() == 4U);
-  this->Backends.discardDeparted(this->Now + 60s);
+  this->Backends.discardExpired(this->Now + 60s);
   BOOST_TEST(this->KeysSince(21).size() == 2U);
 }
 
@@ -181,7 +181,7 @@
   this->Backends.remove(KeyOf(1), 20, this->Now);
   this->Backends.remove(KeyOf(9), 25, this->Now);
   BOOST_TEST(this->KeysSince(5).size() == 2U);
-  this->Backends.discardDeparted(this->Now + 60s);
+  this->Backends.discardExpired(this->Now + 60s);
   BOOST_TEST(!this->Difference.Since(24, 1000).has_value());
   BOOST_TEST(this->Difference.Since(25, 1000).has_value());
 }
--- a/tests/core/relay/view_relay_test.cc
+++ b/tests/core/relay/view_relay_test.cc
@@ -206,7 +206,7 @@
 {
   const core::RelayTiming timing = core::RelayTiming::ForBound(30s);
   BOOST_TEST((timing.WatchWait == core::kWatchMaxWait));
-  BOOST_TEST((timing.FollowerReadsAfter == core::kFollowerReadViewAge));
+  BOOST_TEST((timing.FollowerReadViewAge == core::kFollowerReadViewAge));
   BOOST_TEST((timing.CoveredRetryInterval == core::kReadBackoffWithSeed));
 }
 
--- a/tests/core/shard_state_test.cc
+++ b/tests/core/shard_state_test.cc
@@ -68,7 +68,7 @@
 BOOST_AUTO_TEST_CASE(HandoverFailsWhenTheFormerHomeIsUnreachable) {
   ShardState shard;
   shard.awaitHandover(kFirst, 10s);
-  BOOST_TEST((shard.unknownFlowRule(1s) == UnknownFlowRule::kAskFormerHome));
+  BOOST_TEST((shard.unknownFlowRule(1s) == UnknownFlowRule::kQueryFormerHome));
   BOOST_TEST(!shard.handoverFailed(1s));
   shard.onMemberUnreachable(kFirst);
   BOOST_TEST(shard.handoverFailed(1s));
--- a/tests/core/store_era_reader_test.cc
+++ b/tests/core/store_era_reader_test.cc
@@ -64,7 +64,7 @@
   answerNext();
   BOOST_TEST(candidates() == 6U);
   BOOST_TEST(!backends.takesNewFlows(core::BackendId{4}));
-  BOOST_TEST((answerNext() == ReadOutcome::kAnswered));
+  BOOST_TEST((answerNext() == ReadOutcome::kSucceeded));
   BOOST_TEST(reader.revision() == store.revision());
 }
 
@@ -83,7 +83,7 @@
   BOOST_TEST((reader.onReply(store.answer(watch), now) == ReadOutcome::kHistoryGone));
 }
 
-BOOST_AUTO_TEST_CASE(answer_of_earlier_era_is_rejected) {
+BOOST_AUTO_TEST_CASE(response_of_earlier_era_is_rejected) {
   const FakeStore before = store;
   store.restore(store.snapshot());
   answerNext();
@@ -92,7 +92,7 @@
   BOOST_TEST((reader.onReply(before.answer(nextRead()), now) == ReadOutcome::kOutdatedEra));
   BOOST_TEST(reader.revision() == revision);
   BOOST_TEST(reader.isFailing());
-  BOOST_TEST((answerNext() == ReadOutcome::kAnswered));
+  BOOST_TEST((answerNext() == ReadOutcome::kSucceeded));
 }
 
 BOOST_AUTO_TEST_CASE(listing_with_pages_of_two_eras_restarts) {
--- a/tests/core/token_openings_test.cc
+++ b/tests/core/token_openings_test.cc
@@ -90,7 +90,7 @@
   BOOST_TEST(flowsOfFirst(400, 100) >= 50);
 }
 
-BOOST_AUTO_TEST_CASE(leaving_backend_keeps_its_flows_and_gets_no_new_flow) {
+BOOST_AUTO_TEST_CASE(draining_backend_keeps_its_flows_and_gets_no_new_flow) {
   core::Registration leaving = makeRegistration(1, "web", 1, 1);
   leaving.state = core::BackendState::kDraining;
   putBackend(1, leaving);
@@ -156,7 +156,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(single_vanished_backend_gets_no_flow) {
+BOOST_AUTO_TEST_CASE(single_backend_removed_unannounced_gets_no_flow) {
   steering.backends().remove(keyOf(1), ++revision, now);
   for (std::uint16_t port = 1; port <= 20; ++port) {
     now += 50ms;
@@ -186,7 +186,7 @@
 }
 
 // A single vanished backend is used only if its service has no other.
-BOOST_AUTO_TEST_CASE(only_backend_receives_flows_during_grace_period_after_vanishing) {
+BOOST_AUTO_TEST_CASE(only_backend_receives_flows_during_grace_period_after_removal) {
   steering.backends().remove(keyOf(1), ++revision, now);
   steering.backends().remove(keyOf(2), ++revision, now);
   now += core::kUnannouncedRemovalGracePeriod;
@@ -206,7 +206,7 @@
   BOOST_TEST((routeReasonOf(again) == RouteReason::kRepeated));
 }
 
-BOOST_AUTO_TEST_CASE(leaving_backends_get_no_flow_after_removal) {
+BOOST_AUTO_TEST_CASE(draining_backends_get_no_flow_after_removal) {
   for (std::uint8_t host = 1; host <= 3; ++host) {
     core::Registration leaving = makeRegistration(host, "web", 1, host);
     leaving.state = core::BackendState::kDraining;
--- a/tests/core/token_steering_test.cc
+++ b/tests/core/token_steering_test.cc
@@ -34,7 +34,7 @@
   BOOST_TEST((dropReasonOf(open(1, 1)) == DropReason::kStaleOpening));
 }
 
-BOOST_AUTO_TEST_CASE(vanished_backend_is_reachable_by_token_until_the_flow_age_limit) {
+BOOST_AUTO_TEST_CASE(removed_backend_is_reachable_by_token_until_the_flow_age_limit) {
   steering.backends().remove(keyOf(1), ++revision, now);
   BOOST_TEST((backendOf(send(99, BackendId{1}, 5, 10)) == BackendId{1}));
   now += 61s;
--- a/tests/core/tokens/address_token_steering_test.cc
+++ b/tests/core/tokens/address_token_steering_test.cc
@@ -212,7 +212,7 @@
   const core::SteeringToken token = this->TokenOfHost(2);
   this->Steering.backends().remove(
     TokenFixture::keyOf(2), ++this->Revision, this->Now);
-  this->Steering.backends().discardDeparted(this->Now + 61s);
+  this->Steering.backends().discardExpired(this->Now + 61s);
   BOOST_TEST(this->Steering.backends().findByToken(token) == nullptr);
 }
 
--- a/tests/core/view_exchange_test.cc
+++ b/tests/core/view_exchange_test.cc
@@ -260,7 +260,7 @@
 }
 
 // A listing that takes long on a slow link does not mean that the store is unresponsive.
-BOOST_AUTO_TEST_CASE(partial_answer_progress_sends_no_requests) {
+BOOST_AUTO_TEST_CASE(partial_response_progress_sends_no_requests) {
   for (int part = 0; part < 5; ++part) {
     now += core::kStoreStartupTimeout - 1ms;
     third.reader.onProgress(now);
--- a/tests/core/zones/evacuated_openings_test.cc
+++ b/tests/core/zones/evacuated_openings_test.cc
@@ -114,7 +114,7 @@
   BOOST_TEST(this->CountInB(100) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(lapsed_registrations_in_an_evacuated_zone_get_no_opening)
+BOOST_AUTO_TEST_CASE(expired_registrations_in_an_evacuated_zone_get_no_opening)
 {
   this->Evacuate("b");
   for (const std::uint64_t id : { 1, 2, 3, 11, 12, 13 }) {
--- a/tests/platform/store_items_test.cc
+++ b/tests/platform/store_items_test.cc
@@ -255,7 +255,7 @@
 
 BOOST_AUTO_TEST_CASE(truncated_or_oversized_msgpack_is_malformed) {
   const std::string complete = asMsgpack(R"({"events":[],"at":530})");
-  BOOST_TEST((parse(200, complete).outcome == ReadOutcome::kAnswered));
+  BOOST_TEST((parse(200, complete).outcome == ReadOutcome::kSucceeded));
   for (std::size_t size = 0; size < complete.size(); ++size) {
     const core::StoreReply reply = parse(200, complete.substr(0, size));
     BOOST_TEST((reply.outcome == ReadOutcome::kMalformed));
