--- a/src/core/backend_candidates.cc
+++ b/src/core/backend_candidates.cc
@@ -99,7 +99,7 @@
   const auto& list = removals->second;
   for (auto item = list.rbegin(); item != list.rend() && item->first > since; ++item) {
     const auto entry = entries_.find(item->second);
-    // A backend that returned and departed again counts by its last departure.
+    // A backend that registered again and was removed again counts by its last removal.
     const bool isLast = entry != entries_.end() && entry->second.removedAt == item->first;
     if (isLast && wasRemovedUnannounced(entry->second, since)) {
       removed.push_back(candidateOf(entry->second));
--- a/src/core/backend_health.h
+++ b/src/core/backend_health.h
@@ -24,7 +24,7 @@
   std::uint64_t probes = 0;
   std::uint64_t declaredDead = 0;
   std::uint64_t inconclusive = 0;  ///< Inconclusive probes.
-  std::uint64_t recovered = 0;
+  std::uint64_t recovered = 0;     ///< Dead backends that responded again.
 };
 
 class BackendHealth {
--- a/src/core/balancer.cc
+++ b/src/core/balancer.cc
@@ -211,7 +211,7 @@
     return;
   }
   // Without a list of peers the daemon cannot tell whether it is the first one. If peers are listed
-  // but none is heard, a network partition is likely.
+  // but no message arrives, a network partition is likely.
   const bool isolatedJoiner =
       membership_.selfState() == MemberState::kJoining && hasSeeds_ && lastMessageAt_ == Time{};
   const Duration wait = isolatedJoiner ? kFenceIsolatedTimeout : kFencePeerTimeout;
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -100,9 +100,9 @@
 /// How long connection attempts to a service without backends are dropped rather than refused,
 /// because registrations may be pending.
 inline constexpr Duration kEmptyServiceGracePeriod = 1500ms;
-/// How long a backend that vanished without announcing it may still receive flows, if its service
-/// has no other backend or many vanished together. Their registrations may have expired while the
-/// store was unavailable.
+/// How long a backend that was removed without announcing its shutdown may still receive flows, if
+/// its service has no other backend or many were removed together. Their registrations may have
+/// expired while the store was unavailable.
 inline constexpr Duration kUnannouncedRemovalGracePeriod = 2000ms;
 
 /// Maximum time for which the store may hold a watch. A response without changes confirms that the
@@ -207,7 +207,7 @@
 
 // Following a peer; see docs/design/005-view-relay.md.
 
-/// Time within which a change must be in force on all daemons.
+/// Time within which a change must be in effect on all daemons.
 inline constexpr Duration kChangePropagationDeadline = 3000ms;
 /// Age of the view at which a follower queries other peers.
 inline constexpr Duration kPeerQueryViewAge = 1150ms;
@@ -264,8 +264,8 @@
 /// Number of backend ports that are tried for a token of an unknown backend.
 inline constexpr std::size_t kMaxCandidatePorts = 4;
 
-/// If more than one in this many registrations of a service vanish unannounced, they are assumed to
-/// have expired.
+/// If more than one in this many registrations of a service are removed unannounced, they are
+/// assumed to have expired.
 inline constexpr std::size_t kMassExpiryRatio = 3;
 
 // Backends that are warming up; see docs/design/010-shifted-work.md.
@@ -275,7 +275,7 @@
 inline constexpr double kWarmUpShare = 1.0 / 3;
 /// Window of the warm-up rate limit: one second, and a margin for varying delays.
 inline constexpr Duration kWarmUpWindow = 1100ms;
-/// Number of daemons that is assumed until they are counted.
+/// Upper bound of the number of daemons; also assumed until they are counted.
 inline constexpr std::uint32_t kMaxFleetSize = 1000;
 /// A count of daemons is kept for one to two times this duration.
 inline constexpr Duration kFleetCountTtl = 30s;
--- a/src/core/fence.h
+++ b/src/core/fence.h
@@ -1,7 +1,7 @@
 /// @file
 /// Stops a daemon from forwarding while its view may be stale: after start-up and after the process
 /// was suspended. The fence opens when a peer confirms the view, or after a timeout if no peer
-/// answers.
+/// responds.
 #pragma once
 
 #include <cstdint>
--- a/src/core/messages.h
+++ b/src/core/messages.h
@@ -21,7 +21,7 @@
   kJoining,  ///< Reachable; may not own shards yet.
   kAlive,    ///< Full member; may own shards.
   kLeaving,  ///< Planned stop: still forwards, owns no shards.
-  kSuspect,  ///< Did not answer probes; can refute with a higher incarnation.
+  kSuspect,  ///< Did not respond to probes; can refute with a higher incarnation.
   kDead,     ///< The suspicion timeout expired.
   kLeft,     ///< Completed a planned stop.
 };
@@ -54,7 +54,7 @@
   std::vector<MemberUpdate> updates;
 };
 
-/// Response to a Ping; `subject` is the member that answered a direct or indirect probe.
+/// Response to a Ping; `subject` is the member that responded to a direct or indirect probe.
 struct Ack {
   std::uint64_t sequence = 0;
   MemberId subject = kNoMember;
--- a/src/core/shard_state.h
+++ b/src/core/shard_state.h
@@ -88,7 +88,7 @@
   /// Call when a member has sent all its flows that need a record for a placement version.
   /// @param full true if it listed the whole shard, false if only the moved buckets.
   void onReport(MemberId member, ConfigurationVersion version, bool full);
-  /// Stops waiting for reports of a member that died or left.
+  /// Stops waiting for reports of a member that failed or left.
   void onMemberUnreachable(MemberId member);
   /// @return the members whose full listing is pending.
   std::set<MemberId> missingListings(Time now) const;
--- a/src/core/verdict.h
+++ b/src/core/verdict.h
@@ -22,7 +22,7 @@
   kCarriedToken,   ///< The packet carries the token of its backend.
   kPlaced,         ///< The packet opens a flow; selected by weight and load.
   kRepeated,       ///< A retransmitted opening; sent to the same backend.
-  kReplaced,       ///< A retransmitted opening; the first backend is suspected or leaving.
+  kReplaced,       ///< A retransmitted opening; the first backend is suspected or draining.
   kResolvedToken,  ///< The backend is unknown; its address is in the token.
 };
 inline constexpr std::size_t kRouteReasons = 11;
--- a/tests/core/registration_order_test.cc
+++ b/tests/core/registration_order_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// What a back end has said of itself, and a store that shows something older: it came back from a
-/// copy, or took a write late.
+/// Order of a backend's registration updates when the store applies a write late or is restored
+/// from an older copy.
 #include <boost/test/unit_test.hpp>
 
 #include "core/backend_registry.h"
@@ -67,7 +67,7 @@
   BOOST_TEST(!takesNewFlows());
 }
 
-// It has started again under its id, and begins its numbers anew.
+// A backend that restarts under the same id numbers its updates from the start.
 BOOST_AUTO_TEST_CASE(restarted_update_sequence_is_accepted) {
   putRegistration(BackendState::kActive, 10, 20);
   BOOST_TEST((putRegistration(BackendState::kDraining, 1, 21) == RegistryEvent::kDraining));
@@ -86,8 +86,8 @@
   BOOST_TEST(!takesNewFlows());
 }
 
-// A registration lapses where its heartbeats are late. They raise no revision, so nothing but the
-// copy's item would say that the back end is there.
+// Late heartbeats let a registration expire. Heartbeats do not increment the revision, so only the
+// item of the restored store shows that the backend is present.
 BOOST_AUTO_TEST_CASE(expired_backend_in_restored_store_takes_new_flows) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   backends.remove(kKey, {StoreEra{1}, 47}, now);
@@ -110,7 +110,7 @@
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 20}));
 }
 
-// A copy lacked it, and it was written again under the number that it had had before.
+// The restored store lacked the item, which was then written again with its previous number.
 BOOST_AUTO_TEST_CASE(same_revision_number_in_later_era_is_a_change) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   BOOST_TEST(
@@ -119,7 +119,7 @@
   BOOST_TEST(takesNewFlows());
 }
 
-// Its address belongs to a later back end, which the copy lacked.
+// The address now belongs to a later backend, which the restored store lacked.
 BOOST_AUTO_TEST_CASE(restored_stale_backend_is_superseded_by_current_one) {
   const auto put = [this](std::uint64_t id, Revision revision) {
     backends.put("servers/" + std::to_string(id), makeRegistration(id, "web", 1, 1), revision, now);
--- a/tests/core/token_openings_test.cc
+++ b/tests/core/token_openings_test.cc
@@ -185,7 +185,7 @@
   }
 }
 
-// A single vanished backend is used only if its service has no other.
+// A single backend that was removed unannounced is used only if its service has no other.
 BOOST_AUTO_TEST_CASE(only_backend_receives_flows_during_grace_period_after_removal) {
   steering.backends().remove(keyOf(1), ++revision, now);
   steering.backends().remove(keyOf(2), ++revision, now);
--- a/tests/core/token_steering_test.cc
+++ b/tests/core/token_steering_test.cc
@@ -145,7 +145,7 @@
   BOOST_TEST((backendOf(send(1, backend, 1, 100)) == backend));
 }
 
-// A leaving backend may stop listening while it still serves its flows, which must not be reset.
+// A draining backend may stop listening while it still serves its flows, which must not be reset.
 BOOST_AUTO_TEST_CASE(backend_that_refuses_connections_keeps_its_flows) {
   const BackendId backend = establishFlow(1);
   core::Registration leaving = makeRegistration(static_cast<std::uint64_t>(backend), "web", 1,
