--- a/src/core/balancer.cc
+++ b/src/core/balancer.cc
@@ -248,8 +248,8 @@
   if (now >= nextMaintenance_) {
     nextMaintenance_ = now + kMaintenanceInterval;
     const Duration keep = options_.flowIdleTimeout * kRecordIdleFactor;
-    for (const BackendId gone : directory_.removeExpired(now, keep)) {
-      homes_.removeBackend(gone);
+    for (const BackendId removed : directory_.removeExpired(now, keep)) {
+      homes_.removeBackend(removed);
     }
   }
 }
--- a/tests/core/relay/peer_clocks_test.cc
+++ b/tests/core/relay/peer_clocks_test.cc
@@ -22,16 +22,16 @@
     return static_cast<std::uint64_t>(time.count());
   }
 
-  /// A response to a request sent at `asked`, written at `written`, with a
-  /// view that was confirmed at `confirmed`, all on the local clock.
-  core::ViewUpdate Answer(core::Time asked,
-                          core::Time written,
-                          core::Time confirmed) const
+  /// A response to a request sent at `requestedAt`, written at `writtenAt`,
+  /// with a view that was confirmed at `confirmed`, all on the local clock.
+  core::ViewUpdate MakeUpdate(core::Time requestedAt,
+                              core::Time writtenAt,
+                              core::Time confirmed) const
   {
     core::ViewUpdate update;
     update.sender = this->Peer;
-    update.echoUs = ToUs(asked);
-    update.clockUs = ToUs(written + kAhead);
+    update.echoUs = ToUs(requestedAt);
+    update.clockUs = ToUs(writtenAt + kAhead);
     update.confirmedUs = ToUs(confirmed + kAhead);
     return update;
   }
@@ -41,7 +41,7 @@
 
 BOOST_AUTO_TEST_CASE(delay_makes_a_view_look_older_only)
 {
-  const core::ViewUpdate update = this->Answer(100s, 100s + 300ms, 99s);
+  const core::ViewUpdate update = this->MakeUpdate(100s, 100s + 300ms, 99s);
   this->Clocks.RecordOffset(update, 100s + 400ms);
   const auto confirmed = this->Clocks.GetConfirmedAt(update, 100s + 400ms);
   BOOST_REQUIRE(confirmed.has_value());
@@ -50,7 +50,7 @@
 
 BOOST_AUTO_TEST_CASE(peer_without_response_has_unknown_clock)
 {
-  core::ViewUpdate push = this->Answer(100s, 100s, 99s);
+  core::ViewUpdate push = this->MakeUpdate(100s, 100s, 99s);
   push.echoUs = 0;
   this->Clocks.RecordOffset(push, 100s);
   BOOST_TEST(!this->Clocks.GetConfirmedAt(push, 100s).has_value());
@@ -58,7 +58,7 @@
 
 BOOST_AUTO_TEST_CASE(late_response_is_ignored)
 {
-  const core::ViewUpdate late = this->Answer(100s, 100s, 99s);
+  const core::ViewUpdate late = this->MakeUpdate(100s, 100s, 99s);
   const core::Time now = 100s + core::kSubscriptionLease + 1ms;
   this->Clocks.RecordOffset(late, now);
   BOOST_TEST(!this->Clocks.GetConfirmedAt(late, now).has_value());
@@ -66,14 +66,14 @@
 
 BOOST_AUTO_TEST_CASE(confirmation_is_never_in_the_future)
 {
-  const core::ViewUpdate update = this->Answer(100s, 100s, 300s);
+  const core::ViewUpdate update = this->MakeUpdate(100s, 100s, 300s);
   this->Clocks.RecordOffset(update, 101s);
   BOOST_TEST((*this->Clocks.GetConfirmedAt(update, 101s) == 101s));
 }
 
 BOOST_AUTO_TEST_CASE(clock_offset_is_removed_with_its_peer_and_on_expiry)
 {
-  const core::ViewUpdate update = this->Answer(100s, 100s, 99s);
+  const core::ViewUpdate update = this->MakeUpdate(100s, 100s, 99s);
   this->Clocks.RecordOffset(update, 100s);
   this->Clocks.Expire(100s + core::kClockOffsetTtl);
   BOOST_TEST(this->Clocks.GetConfirmedAt(update, 100s).has_value());
--- a/tests/core/relay/relay_changes_test.cc
+++ b/tests/core/relay/relay_changes_test.cc
@@ -162,7 +162,7 @@
   const core::Time clock = starting.Clock(this->Now);
   const auto listing = starting.Reader.nextRead(clock);
   BOOST_REQUIRE(listing.has_value());
-  starting.Reader.onReply(this->Store.answer(*listing), clock);
+  starting.Reader.onReply(this->Store.replyTo(*listing), clock);
   starting.Relay.OnStoreReply(clock);
   BOOST_REQUIRE(starting.Reader.isCatchingUp());
   Node& seed = *this->Readers()[0];
--- a/tests/core/relay/relay_fixture.h
+++ b/tests/core/relay/relay_fixture.h
@@ -48,11 +48,11 @@
   core::FleetLoad Load{ this->Address, this->Meter, [this](core::Time now) {
                          return this->Backends.countSlots(now);
                        } };
-  core::ViewBackfill Fill{ this->Address,
-                           this->Reader,
-                           this->Updater,
-                           this->Backends,
-                           this->Random };
+  core::ViewBackfill Backfill{ this->Address,
+                               this->Reader,
+                               this->Updater,
+                               this->Backends,
+                               this->Random };
   std::optional<core::StoreRead> Pending;
   core::Time RequestedAt{};
   std::uint64_t Calls = 0;
@@ -150,7 +150,7 @@
         reply = failedRead(core::ReadOutcome::kTimedOut);
       }
     } else {
-      reply = this->Store.answer(*node.Pending);
+      reply = this->Store.replyTo(*node.Pending);
       // A watch from a discarded revision fails immediately.
       const bool mayWait =
         node.Pending->kind == core::StoreRead::Kind::kWatch &&
@@ -183,7 +183,8 @@
         }
       }
     }
-    for (core::OutgoingBackfillMessage& outgoing : node.Fill.TakeMessages()) {
+    for (core::OutgoingBackfillMessage& outgoing :
+         node.Backfill.TakeMessages()) {
       if (!node.IsPartitioned) {
         std::visit(
           [&messages, &outgoing](const auto& content) {
@@ -219,10 +220,10 @@
         node->Relay.OnLoadSummary(*summary, clock);
       } else if (const auto* request =
                    std::get_if<core::ViewPageRequest>(&message.Content)) {
-        node->Fill.OnRequest(*request, clock);
+        node->Backfill.OnRequest(*request, clock);
       } else if (const auto* page =
                    std::get_if<core::ViewPage>(&message.Content)) {
-        node->Fill.OnPage(*page, clock);
+        node->Backfill.OnPage(*page, clock);
       } else {
         node->Relay.OnUpdate(std::get<core::ViewUpdate>(message.Content),
                              clock);
@@ -274,7 +275,7 @@
     peers.Seeds = node.Relay.GetSeeds();
     peers.IsSeed = node.Relay.IsSeed();
     peers.FleetSize = static_cast<std::uint32_t>(this->Nodes.size());
-    node.Fill.OnTick(peers, node.Clock(this->Now));
+    node.Backfill.OnTick(peers, node.Clock(this->Now));
   }
 
   void Run(core::Duration span)
--- a/tests/core/relay/relay_starts_test.cc
+++ b/tests/core/relay/relay_starts_test.cc
@@ -85,12 +85,12 @@
                                 this->Store.revision(),
                                 makeRegistration(9, "web", 1, 9) };
   this->Store.put("servers/9", core::RemovedItem{});
-  const core::StoreChange gone{ "servers/9",
-                                this->Store.revision(),
-                                core::RemovedItem{} };
+  const core::StoreChange removal{ "servers/9",
+                                   this->Store.revision(),
+                                   core::RemovedItem{} };
   const core::Time clock = reader.Clock(this->Now);
   // The store's response to the seed holds only the latest state of the item.
-  reader.Updater.onChange(gone, clock);
+  reader.Updater.onChange(removal, clock);
   reader.Log.Close(this->Store.revision());
   const auto range = reader.Log.Since(listed);
   BOOST_REQUIRE(range.has_value());
--- a/tests/core/relay/view_backfill_test.cc
+++ b/tests/core/relay/view_backfill_test.cc
@@ -198,18 +198,19 @@
   const core::Time clock = sender.Clock(this->Now);
   std::size_t sent = 0;
   for (std::size_t requester = 10; requester < 30; ++requester) {
-    sender.Fill.OnRequest({ this->At(requester).Address, "", 0 }, clock);
-    const auto messages = sender.Fill.TakeMessages();
+    sender.Backfill.OnRequest({ this->At(requester).Address, "", 0 }, clock);
+    const auto messages = sender.Backfill.TakeMessages();
     const auto& page = std::get<core::ViewPage>(messages.at(0).Message);
     sent += page.revision != 0 ? 1 : 0;
   }
   BOOST_TEST(sent == 4U);
   // A peer that finished frees its slot and is named in refusals.
-  sender.Fill.OnRequest({ this->At(10).Address, "servers/9999", 0 }, clock);
-  sender.Fill.TakeMessages();
-  sender.Fill.OnRequest({ this->At(20).Address, "", 0 }, clock);
-  sender.Fill.OnRequest({ this->At(21).Address, "", 0 }, clock);
-  const auto messages = sender.Fill.TakeMessages();
+  sender.Backfill.OnRequest({ this->At(10).Address, "servers/9999", 0 },
+                            clock);
+  sender.Backfill.TakeMessages();
+  sender.Backfill.OnRequest({ this->At(20).Address, "", 0 }, clock);
+  sender.Backfill.OnRequest({ this->At(21).Address, "", 0 }, clock);
+  const auto messages = sender.Backfill.TakeMessages();
   BOOST_TEST(std::get<core::ViewPage>(messages.at(0).Message).revision != 0U);
   const auto& refusal = std::get<core::ViewPage>(messages.at(1).Message);
   BOOST_TEST(refusal.revision == 0U);
@@ -230,11 +231,11 @@
   for (int attempt = 0; attempt < 100; ++attempt) {
     this->Now += 1s;
     // The last page for the closer peer, which then has a full view.
-    sender.Fill.OnRequest({ near, "servers/9999", 0 },
-                          sender.Clock(this->Now));
-    sender.Fill.TakeMessages();
-    sender.Fill.OnRequest({ requester, "", 0 }, sender.Clock(this->Now));
-    const auto messages = sender.Fill.TakeMessages();
+    sender.Backfill.OnRequest({ near, "servers/9999", 0 },
+                              sender.Clock(this->Now));
+    sender.Backfill.TakeMessages();
+    sender.Backfill.OnRequest({ requester, "", 0 }, sender.Clock(this->Now));
+    const auto messages = sender.Backfill.TakeMessages();
     const auto& page = std::get<core::ViewPage>(messages.at(0).Message);
     sent += page.revision != 0 ? 1 : 0;
     BOOST_TEST(
@@ -253,10 +254,10 @@
   this->Run(200ms);
   Node& sampled = this->At(30);
   BOOST_REQUIRE(!sampled.Reader.hasAllBackends());
-  sampled.Fill.TakeMessages();
-  sampled.Fill.OnRequest({ this->At(31).Address, "", 0 },
-                         sampled.Clock(this->Now));
-  const auto messages = sampled.Fill.TakeMessages();
+  sampled.Backfill.TakeMessages();
+  sampled.Backfill.OnRequest({ this->At(31).Address, "", 0 },
+                             sampled.Clock(this->Now));
+  const auto messages = sampled.Backfill.TakeMessages();
   BOOST_REQUIRE(messages.size() == 1U);
   BOOST_TEST(std::get<core::ViewPage>(messages[0].Message).revision == 0U);
 }
@@ -273,9 +274,9 @@
   refusal.fullViewPeers = { node.Address };
   this->Now += 1s;
   this->BackfillView(node, { this->At(0).Address });
-  node.Fill.TakeMessages();
-  BOOST_TEST(!node.Fill.OnPage(refusal, node.Clock(this->Now)));
-  BOOST_TEST(node.Fill.TakeMessages().empty());
+  node.Backfill.TakeMessages();
+  BOOST_TEST(!node.Backfill.OnPage(refusal, node.Clock(this->Now)));
+  BOOST_TEST(node.Backfill.TakeMessages().empty());
 }
 
 BOOST_AUTO_TEST_CASE(page_older_than_the_view_is_rejected)
@@ -289,9 +290,9 @@
   page.sender = this->At(0).Address;
   page.revision = node.Reader.baseRevision() - 1;
   page.isLast = true;
-  BOOST_TEST(!node.Fill.OnPage(page, node.Clock(this->Now)));
+  BOOST_TEST(!node.Backfill.OnPage(page, node.Clock(this->Now)));
   BOOST_TEST(!node.Reader.hasAllBackends());
-  BOOST_TEST(node.Fill.GetCounters().StalePages == 1U);
+  BOOST_TEST(node.Backfill.GetCounters().StalePages == 1U);
 }
 
 BOOST_AUTO_TEST_SUITE_END()
--- a/tests/core/relay/view_difference_test.cc
+++ b/tests/core/relay/view_difference_test.cc
@@ -272,10 +272,10 @@
 {
   Node& node = this->At(20);
   const core::Time clock = node.Clock(this->Now);
-  core::StoreReply gone;
-  gone.outcome = core::ReadOutcome::kHistoryGone;
+  core::StoreReply historyGone;
+  historyGone.outcome = core::ReadOutcome::kHistoryGone;
   node.Reader.setActive(true);
-  node.Reader.onReply(gone, clock);
+  node.Reader.onReply(historyGone, clock);
   BOOST_REQUIRE(node.Reader.isListing());
   const auto page = node.Reader.nextRead(clock + 3s);
   BOOST_REQUIRE(page.has_value());
@@ -284,7 +284,7 @@
   BOOST_TEST(node.Routes.version() == 9U);
   BOOST_TEST(!node.Reader.isListing());
   // The late page does not restart the listing.
-  node.Reader.onReply(this->Store.answer(*page), node.Clock(this->Now));
+  node.Reader.onReply(this->Store.replyTo(*page), node.Clock(this->Now));
   BOOST_TEST(!node.Reader.isListing());
   this->Run(2s);
   BOOST_TEST(node.Backends.activeCount() == 3001U);
@@ -297,9 +297,9 @@
   Node& node = this->At(20);
   const core::Time clock = node.Clock(this->Now);
   const core::Revision revision = node.Reader.revision();
-  core::StoreReply gone;
-  gone.outcome = core::ReadOutcome::kHistoryGone;
-  node.Reader.onReply(gone, clock);
+  core::StoreReply historyGone;
+  historyGone.outcome = core::ReadOutcome::kHistoryGone;
+  node.Reader.onReply(historyGone, clock);
   node.Reader.confirm(clock - 100ms);
   BOOST_TEST(node.Reader.isListing());
   node.Reader.advance(revision + 1);
--- a/tests/core/restarted_backends_test.cc
+++ b/tests/core/restarted_backends_test.cc
@@ -104,11 +104,11 @@
   log.Close(revision);
   updater.onChange({keyOf(1), ++revision, core::UnreadableItem{"bytes"}}, now);
   log.Close(revision);
-  const auto excerpt = log.Since(revision - 1);
-  BOOST_REQUIRE(excerpt.has_value());
-  BOOST_REQUIRE(excerpt->Changes.size() == 1U);
-  const auto& told = std::get<core::Registration>(excerpt->Changes[0].item);
-  BOOST_TEST((told.state == core::BackendState::kDraining));
+  const auto range = log.Since(revision - 1);
+  BOOST_REQUIRE(range.has_value());
+  BOOST_REQUIRE(range->Changes.size() == 1U);
+  const auto& registration = std::get<core::Registration>(range->Changes[0].item);
+  BOOST_TEST((registration.state == core::BackendState::kDraining));
 }
 
 BOOST_AUTO_TEST_CASE(unreadable_item_of_unknown_key_changes_nothing) {
--- a/tests/core/sampled_view_test.cc
+++ b/tests/core/sampled_view_test.cc
@@ -50,21 +50,21 @@
     BOOST_REQUIRE(read.has_value());
     return *read;
   }
-  StoreRead answerNext() {
+  StoreRead replyToNext() {
     StoreRead read = nextRead();
-    reader.onReply(store.answer(read), now);
+    reader.onReply(store.replyTo(read), now);
     return read;
   }
   /// Reads until the view is synchronized.
   void begin() {
     while (!reader.isSynchronized()) {
-      answerNext();
+      replyToNext();
     }
   }
   void backfillAll() {
     reader.setBackfilling(true);
     while (!reader.hasAllBackends()) {
-      answerNext();
+      replyToNext();
     }
   }
   std::uint64_t unknownId() {
@@ -80,9 +80,9 @@
 
 // Guards against reading all backends before the first flow can be accepted.
 BOOST_AUTO_TEST_CASE(accepts_flows_after_two_listings_and_a_watch) {
-  BOOST_TEST((answerNext().range.kind == Kind::kOperators));
-  BOOST_TEST((answerNext().range.kind == Kind::kBackendPartition));
-  BOOST_TEST((answerNext().kind == StoreRead::Kind::kWatch));
+  BOOST_TEST((replyToNext().range.kind == Kind::kOperators));
+  BOOST_TEST((replyToNext().range.kind == Kind::kBackendPartition));
+  BOOST_TEST((replyToNext().kind == StoreRead::Kind::kWatch));
   BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(!reader.hasAllBackends());
   BOOST_TEST(routes.version() == 7U);
@@ -93,11 +93,11 @@
 BOOST_AUTO_TEST_CASE(backfill_pages_alternate_with_watches_until_done) {
   begin();
   reader.setBackfilling(true);
-  BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
-  const StoreRead watch = answerNext();
+  BOOST_TEST((replyToNext().cause == StoreRead::Cause::kMissingPage));
+  const StoreRead watch = replyToNext();
   BOOST_TEST((watch.kind == StoreRead::Kind::kWatch));
   BOOST_TEST((watch.wait == core::kCatchUpWatchMaxWait));
-  BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
+  BOOST_TEST((replyToNext().cause == StoreRead::Cause::kMissingPage));
   backfillAll();
   BOOST_TEST(backends.size() == kBackends);
   BOOST_TEST((nextRead().kind == StoreRead::Kind::kWatch));
@@ -109,8 +109,8 @@
   BOOST_TEST(!reader.isActive());
   reader.setBackfilling(true);
   BOOST_TEST(reader.isActive());
-  BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
-  BOOST_TEST((answerNext().cause == StoreRead::Cause::kMissingPage));
+  BOOST_TEST((replyToNext().cause == StoreRead::Cause::kMissingPage));
+  BOOST_TEST((replyToNext().cause == StoreRead::Cause::kMissingPage));
   // A pending backfill page does not show that the view is current.
   now += 10s;
   nextRead();
@@ -128,12 +128,12 @@
   BOOST_TEST(changes[0].backends == kBackends);
   store.put("servers/1", core::RemovedItem{});
   while (backends.candidates(core::serviceIdOf("web")).size() == kBackends) {
-    answerNext();
+    replyToNext();
   }
   log.Close(reader.revision());
-  const auto excerpt = log.Since(store.revision() - 1);
-  BOOST_REQUIRE(excerpt.has_value());
-  BOOST_TEST(excerpt->Changes.size() == 1U);
+  const auto range = log.Since(store.revision() - 1);
+  BOOST_REQUIRE(range.has_value());
+  BOOST_TEST(range->Changes.size() == 1U);
 }
 
 BOOST_AUTO_TEST_CASE(older_backfill_page_does_not_restore_removed_backend) {
@@ -152,14 +152,14 @@
   store.freezeStale();
   store.put(keyOf(kBackends + 1), backend(kBackends + 1));
   store.compact();
-  answerNext();
-  answerNext();
-  answerNext();  // The watch; the history is gone.
+  replyToNext();
+  replyToNext();
+  replyToNext();  // The watch; the history is gone.
   const StoreRead again = nextRead();
   BOOST_TEST((again.range.kind == Kind::kOperators));
   BOOST_TEST(!again.stale);
-  reader.onReply(store.answer(again), now);
-  answerNext();
+  reader.onReply(store.replyTo(again), now);
+  replyToNext();
   BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(!reader.hasAllBackends());
 }
@@ -170,21 +170,21 @@
   store.put(keyOf(1), core::RemovedItem{});
   store.compact();
   while (!reader.isListing()) {
-    answerNext();
+    replyToNext();
   }
   BOOST_TEST((nextRead().range.kind == Kind::kEverything));
 }
 
 // The listing ends after a peer supplied a full view, and must not remove anything from it.
 BOOST_AUTO_TEST_CASE(late_sample_does_not_remove_backends_from_full_view) {
-  answerNext();
+  replyToNext();
   const StoreRead part = nextRead();
   for (std::uint64_t id = 1; id <= kBackends; ++id) {
     updater.onChange({keyOf(id), id + 1, backend(id)}, now);
   }
   reader.adopt(store.revision());
   reader.markAllBackendsKnown();
-  reader.onReply(store.answer(part), now);
+  reader.onReply(store.replyTo(part), now);
   BOOST_TEST(reader.hasAllBackends());
   BOOST_TEST(backends.candidates(core::serviceIdOf("web")).size() == kBackends);
 }
--- a/tests/core/store_era_reader_test.cc
+++ b/tests/core/store_era_reader_test.cc
@@ -27,8 +27,8 @@
     for (std::uint64_t id = 1; id <= 3; ++id) {
       add(id);
     }
-    answerNext();
-    answerNext();
+    replyToNext();
+    replyToNext();
   }
 
   void add(std::uint64_t id) {
@@ -43,7 +43,7 @@
     return *read;
   }
 
-  ReadOutcome answerNext() { return reader.onReply(store.answer(nextRead()), now); }
+  ReadOutcome replyToNext() { return reader.onReply(store.replyTo(nextRead()), now); }
 
   std::size_t candidates() { return backends.candidates(core::serviceIdOf("web")).size(); }
 };
@@ -55,16 +55,16 @@
 BOOST_AUTO_TEST_CASE(watch_answered_by_restored_store_relists) {
   const FakeStore::Snapshot snapshot = store.snapshot();
   add(4);
-  answerNext();
+  replyToNext();
   store.restore(snapshot);
   for (std::uint64_t id = 5; id <= 7; ++id) {
     add(id);
   }
-  BOOST_TEST((answerNext() == ReadOutcome::kHistoryGone));
-  answerNext();
+  BOOST_TEST((replyToNext() == ReadOutcome::kHistoryGone));
+  replyToNext();
   BOOST_TEST(candidates() == 6U);
   BOOST_TEST(!backends.takesNewFlows(core::BackendId{4}));
-  BOOST_TEST((answerNext() == ReadOutcome::kSucceeded));
+  BOOST_TEST((replyToNext() == ReadOutcome::kSucceeded));
   BOOST_TEST(reader.revision() == store.revision());
 }
 
@@ -72,7 +72,7 @@
 BOOST_AUTO_TEST_CASE(watch_from_earlier_era_is_discarded_after_peer_update) {
   const FakeStore::Snapshot snapshot = store.snapshot();
   add(4);
-  answerNext();
+  replyToNext();
   const core::StoreRead watch = nextRead();
   store.restore(snapshot);
   add(5);
@@ -80,19 +80,19 @@
   for (std::uint64_t id = 6; id <= 8; ++id) {
     add(id);
   }
-  BOOST_TEST((reader.onReply(store.answer(watch), now) == ReadOutcome::kHistoryGone));
+  BOOST_TEST((reader.onReply(store.replyTo(watch), now) == ReadOutcome::kHistoryGone));
 }
 
 BOOST_AUTO_TEST_CASE(response_of_earlier_era_is_rejected) {
   const FakeStore before = store;
   store.restore(store.snapshot());
-  answerNext();
-  answerNext();
+  replyToNext();
+  replyToNext();
   const core::Revision revision = reader.revision();
-  BOOST_TEST((reader.onReply(before.answer(nextRead()), now) == ReadOutcome::kOutdatedEra));
+  BOOST_TEST((reader.onReply(before.replyTo(nextRead()), now) == ReadOutcome::kOutdatedEra));
   BOOST_TEST(reader.revision() == revision);
   BOOST_TEST(reader.isFailing());
-  BOOST_TEST((answerNext() == ReadOutcome::kSucceeded));
+  BOOST_TEST((replyToNext() == ReadOutcome::kSucceeded));
 }
 
 BOOST_AUTO_TEST_CASE(listing_with_pages_of_two_eras_restarts) {
@@ -100,13 +100,13 @@
   store.pageSize = 2;
   const FakeStore::Snapshot snapshot = store.snapshot();
   store.restore(snapshot);
-  BOOST_TEST((answerNext() == ReadOutcome::kHistoryGone));
-  answerNext();
+  BOOST_TEST((replyToNext() == ReadOutcome::kHistoryGone));
+  replyToNext();
   store.restore(snapshot);
   add(0x10);
-  BOOST_TEST((answerNext() == ReadOutcome::kHistoryGone));
+  BOOST_TEST((replyToNext() == ReadOutcome::kHistoryGone));
   while (reader.isListing()) {
-    answerNext();
+    replyToNext();
   }
   BOOST_TEST(candidates() == 4U);
   BOOST_TEST(reader.revision() == store.revision());
@@ -116,10 +116,10 @@
   for (std::uint64_t id = 10; id < 15; ++id) {
     const FakeStore::Snapshot snapshot = store.snapshot();
     add(id);
-    answerNext();
+    replyToNext();
     store.restore(snapshot);
-    BOOST_TEST((answerNext() == ReadOutcome::kHistoryGone));
-    answerNext();
+    BOOST_TEST((replyToNext() == ReadOutcome::kHistoryGone));
+    replyToNext();
     BOOST_TEST(candidates() == 3U);
   }
   BOOST_TEST(reader.counters().historyGone == 5U);
--- a/tests/core/store_reader_test.cc
+++ b/tests/core/store_reader_test.cc
@@ -35,7 +35,7 @@
     return *read;
   }
 
-  void answerNext() { reader.onReply(store.answer(nextRead()), now); }
+  void replyToNext() { reader.onReply(store.replyTo(nextRead()), now); }
   void failNext(ReadOutcome outcome) {
     nextRead();
     reader.onReply(failedRead(outcome), now);
@@ -46,8 +46,8 @@
     store.put("op/config", makeRoutes(7, {{1, "web"}}));
     store.put("servers/1", makeRegistration(1, "web", 1, 1));
     store.put("servers/2", makeRegistration(2, "web", 1, 2));
-    answerNext();
-    answerNext();
+    replyToNext();
+    replyToNext();
   }
 
   std::size_t activeBackends() { return backends.candidates(core::serviceIdOf("web")).size(); }
@@ -77,13 +77,13 @@
   begin();
   reader.setHasOtherReaders(true);
   now += 5s;
-  answerNext();
+  replyToNext();
   BOOST_TEST((reader.nextReadAt() - now == core::kReadHoldOff));
   BOOST_TEST((nextRead().wait == core::kWatchMaxWait - core::kReadHoldOff));
-  reader.onReply(store.answer({}), now);
+  reader.onReply(store.replyTo({}), now);
   // No pause while packets wait for a backend.
   reader.onBackendNeeded(now);
-  answerNext();
+  replyToNext();
   BOOST_TEST((reader.nextReadAt() == now));
   BOOST_TEST((nextRead().wait == core::kWatchMaxWait));
 }
@@ -91,12 +91,12 @@
 BOOST_AUTO_TEST_CASE(deferred_catch_up_runs_at_once_when_packets_wait) {
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
   reader.setHasOtherReaders(true);
-  answerNext();
+  replyToNext();
   BOOST_REQUIRE(reader.isCatchingUp());
   reader.deferRead(now + core::kPeerCatchUpTimeout);
   BOOST_TEST(!reader.nextRead(now).has_value());
   reader.onBackendNeeded(now);
-  answerNext();
+  replyToNext();
   BOOST_TEST(reader.isSynchronized());
 }
 
@@ -139,7 +139,7 @@
   now = reader.nextReadAt();
   reader.deferRead(now + 2s);
   BOOST_TEST(reader.nextRead(now).has_value());
-  reader.onReply(store.answer({}), now);
+  reader.onReply(store.replyTo({}), now);
   reader.setHasOtherReaders(true);
   reader.deferRead(now + 2s);
   BOOST_TEST(!reader.nextRead(now + 1s).has_value());
@@ -156,13 +156,13 @@
     return last.cause;
   };
   BOOST_TEST((causeOfNext() == Cause::kFirstListing));
-  reader.onReply(store.answer(last), now);
+  reader.onReply(store.replyTo(last), now);
   BOOST_TEST((causeOfNext() == Cause::kCatchUp));
-  reader.onReply(store.answer(last), now);
+  reader.onReply(store.replyTo(last), now);
   BOOST_TEST((causeOfNext() == Cause::kFollowStore));
   reader.onReply(failedRead(ReadOutcome::kUnavailable), now);
   BOOST_TEST((causeOfNext() == Cause::kRetry));
-  reader.onReply(store.answer(last), now);
+  reader.onReply(store.replyTo(last), now);
   reader.setUrgent(true);
   BOOST_TEST((causeOfNext() == Cause::kGap));
   reader.setUrgent(false);
@@ -197,13 +197,13 @@
   store.put("op/config", makeRoutes(8, {{1, "web"}}));
   const StoreRead list = nextRead();
   BOOST_TEST(list.stale);
-  reader.onReply(store.answer(list), now);
+  reader.onReply(store.replyTo(list), now);
   BOOST_TEST(!reader.isSynchronized());
   BOOST_TEST(!reader.isCurrent(now));
   const StoreRead watch = nextRead();
   BOOST_TEST(watch.afterRevision == 2U);
   BOOST_TEST(watch.wait.count() == core::kCatchUpWatchMaxWait.count());
-  reader.onReply(store.answer(watch), now);
+  reader.onReply(store.replyTo(watch), now);
   BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(routes.version() == 8U);
   BOOST_TEST(activeBackends() == 0U);
@@ -215,12 +215,12 @@
   store.freezeStale();
   store.put("servers/1", makeRegistration(1, "web", 1, 1));
   store.compact();
-  answerNext();
-  answerNext();
+  replyToNext();
+  replyToNext();
   const StoreRead read = nextRead();
   BOOST_TEST((read.kind == StoreRead::Kind::kList));
   BOOST_TEST(!read.stale);
-  reader.onReply(store.answer(read), now);
+  reader.onReply(store.replyTo(read), now);
   BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(activeBackends() == 1U);
 }
@@ -244,13 +244,13 @@
   store.put("op/config", makeRoutes(7, {{1, "web"}}));
   store.put("servers/1", makeRegistration(1, "web", 1, 1));
   store.put("servers/2", makeRegistration(2, "web", 1, 2));
-  answerNext();
-  answerNext();
+  replyToNext();
+  replyToNext();
   // Changes an item of the first page and removes one of the second page before the third is read.
   store.put("op/config", makeRoutes(8, {{1, "web"}}));
   store.put("servers/1", core::RemovedItem{});
-  answerNext();
-  answerNext();
+  replyToNext();
+  replyToNext();
   BOOST_TEST(reader.isSynchronized());
   BOOST_TEST(routes.version() == 8U);
   BOOST_TEST(activeBackends() == 1U);
@@ -260,11 +260,11 @@
   begin();
   store.put("servers/1", core::RemovedItem{});
   store.compact();
-  answerNext();
+  replyToNext();
   BOOST_TEST(!reader.isCurrent(now + core::kViewFreshnessPeriod));
   const StoreRead read = nextRead();
   BOOST_TEST((read.kind == StoreRead::Kind::kList));
-  reader.onReply(store.answer(read), now);
+  reader.onReply(store.replyTo(read), now);
   BOOST_TEST(activeBackends() == 1U);
 }
 
@@ -287,7 +287,7 @@
   begin();
   changes.clear();
   store.put("servers/1", core::UnreadableItem{"no address"});
-  answerNext();
+  replyToNext();
   BOOST_TEST(activeBackends() == 1U);
   BOOST_TEST(backends.find(core::BackendId{1}) != nullptr);
   BOOST_REQUIRE(changes.size() == 2U);
@@ -298,7 +298,7 @@
   BOOST_TEST((changes[1].backendEvent == core::RegistryEvent::kDraining));
   // Unreadable routes leave those in effect unchanged.
   store.put("op/config", core::UnreadableItem{"no version"});
-  answerNext();
+  replyToNext();
   BOOST_TEST(routes.version() == 7U);
 }
 
@@ -310,7 +310,7 @@
   BOOST_TEST((read.kind == StoreRead::Kind::kWatch));
   BOOST_TEST(read.wait.count() == core::kConfirmWatchMaxWait.count());
   BOOST_TEST(!reader.isCurrent(now + core::kViewFreshnessPeriod));
-  reader.onReply(store.answer(read), now);
+  reader.onReply(store.replyTo(read), now);
   BOOST_TEST(nextRead().wait.count() == core::kWatchMaxWait.count());
 }
 
@@ -346,13 +346,13 @@
   for (core::ConfigurationVersion version = 8; now < end; ++version) {
     store.put("op/config", makeRoutes(version, {{1, "web"}}));
     if (now >= reader.nextReadAt()) {
-      answerNext();
+      replyToNext();
     }
     now += 50ms;
   }
   BOOST_TEST(reader.counters().watches - watchesBefore <= 11U);
   now = std::max(now, reader.nextReadAt());
-  answerNext();
+  replyToNext();
   BOOST_TEST(reader.revision() == store.revision());
 }
 
@@ -363,7 +363,7 @@
     now += 100ms;
     reader.onBackendNeeded(now);
     store.put("servers/" + std::to_string(id), makeRegistration(id, "web", 2, 1));
-    answerNext();
+    replyToNext();
     BOOST_TEST(reader.nextReadAt().count() == now.count());
   }
 }
@@ -372,7 +372,7 @@
   begin();
   now += 5s;
   store.put("servers/3", makeRegistration(3, "web", 1, 3));
-  answerNext();
+  replyToNext();
   BOOST_TEST(reader.nextReadAt().count() == now.count());
 }
 
--- a/tests/core/view_exchange_test.cc
+++ b/tests/core/view_exchange_test.cc
@@ -51,7 +51,7 @@
   void read(Node& node) const {
     const std::optional<core::StoreRead> due = node.reader.nextRead(now);
     BOOST_REQUIRE(due.has_value());
-    node.reader.onReply(store.answer(*due), now);
+    node.reader.onReply(store.replyTo(*due), now);
   }
 
   void fail(Node& node) {
--- a/tests/support/store_fixtures.h
+++ b/tests/support/store_fixtures.h
@@ -38,7 +38,7 @@
   return set;
 }
 
-/// Answers reads like a store. Time and message loss are up to the test.
+/// Replies to reads like a store. Time and message loss are up to the test.
 class FakeStore {
  public:
   /// The contents of a store at one point in time.
@@ -98,7 +98,7 @@
     history_ = snapshot.history;
   }
 
-  core::StoreReply answer(const core::StoreRead& read) const {
+  core::StoreReply replyTo(const core::StoreRead& read) const {
     core::StoreReply reply = read.kind == core::StoreRead::Kind::kList ? list(read) : watch(read);
     stamp(reply);
     return reply;
