--- a/src/core/backend_health.cc
+++ b/src/core/backend_health.cc
@@ -19,12 +19,12 @@
   recordRequest(backend, firstSentAt, now);
 }
 
-void BackendHealth::onAnswer(BackendId backend, Time now) {
+void BackendHealth::onResponse(BackendId backend, Time now) {
   Record& record = records_[backend];
   record.lastActivity = now;
   record.lastResponse = now;
   record.unansweredSince = Time{};
-  counters_.revived += record.dead ? 1U : 0U;
+  counters_.recovered += record.dead ? 1U : 0U;
   record.dead = false;
   pending_.erase(backend);
 }
@@ -78,13 +78,13 @@
   record.probing = false;
   record.nextProbe = now + kProbeRetryInterval;
   if (result == ProbeResult::kConnected) {
-    onAnswer(backend, now);
+    onResponse(backend, now);
     return false;
   }
   const bool respondedMeanwhile = record.unansweredSince == Time{} || !record.probeValid ||
                                   record.lastResponse >= record.probeStartedAt;
   if (result != ProbeResult::kTimedOut || respondedMeanwhile) {
-    counters_.unproven += result == ProbeResult::kInconclusive ? 1U : 0U;
+    counters_.inconclusive += result == ProbeResult::kInconclusive ? 1U : 0U;
     return false;
   }
   record.confirmedDeadAt = now;
--- a/src/core/backend_health.h
+++ b/src/core/backend_health.h
@@ -23,8 +23,8 @@
 struct BackendHealthCounters {
   std::uint64_t probes = 0;
   std::uint64_t declaredDead = 0;
-  std::uint64_t unproven = 0;  ///< Inconclusive probes.
-  std::uint64_t revived = 0;
+  std::uint64_t inconclusive = 0;  ///< Inconclusive probes.
+  std::uint64_t recovered = 0;     ///< Dead backends that responded again.
 };
 
 class BackendHealth {
@@ -34,7 +34,7 @@
   /// Records that a client retransmitted data first sent at `firstSentAt`.
   void onRetransmittedData(BackendId backend, Time firstSentAt, Time now);
   /// Records that a client received new data from the backend.
-  void onAnswer(BackendId backend, Time now);
+  void onResponse(BackendId backend, Time now);
 
   /// @return true if new flows should prefer other backends.
   bool isSuspected(BackendId backend, Time now) const;
--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -11,11 +11,11 @@
   switch (event) {
     case RegistryEvent::kAdded:
       return "added";
-    case RegistryEvent::kLeaving:
+    case RegistryEvent::kDraining:
       return "leaving";
-    case RegistryEvent::kReturned:
+    case RegistryEvent::kReactivated:
       return "returned";
-    case RegistryEvent::kVanished:
+    case RegistryEvent::kRemoved:
       return "vanished";
     case RegistryEvent::kRestarted:
       return "restarted";
@@ -50,8 +50,8 @@
   if (registration.startedAtMs != known.startedAtMs || (!isOfLaterEra && !isSameRun)) {
     return false;
   }
-  if (registration.statement != 0 && known.statement != 0) {
-    return registration.statement < known.statement;
+  if (registration.updateSequence != 0 && known.updateSequence != 0) {
+    return registration.updateSequence < known.updateSequence;
   }
   // Without numbers, a draining backend is not reactivated by a restored store.
   const bool revertsShutdown =
@@ -84,7 +84,7 @@
   }
   const bool hasRestarted = startedBefore != 0 && registration.startedAtMs > startedBefore;
   const bool tookNewFlows = !isNew && takesNewFlows(known->second.address.id);
-  const bool leaving = registration.state == BackendState::kDraining;
+  const bool draining = registration.state == BackendState::kDraining;
   if (!isNew && (known->second.registration.service != registration.service ||
                  known->second.registration.endpoint != registration.endpoint)) {
     unlink(key, known->second);
@@ -102,7 +102,7 @@
   entry.present = true;
   entry.superseded = false;
   if (!sameContent) {
-    entry.warmUntil = now + registration.warmUpLeft;
+    entry.warmUntil = now + registration.remainingWarmUp;
     entry.weight = weights_.weightOf(registration);
   }
   zoneNames_.try_emplace(entry.address.zone, registration.zone);
@@ -120,11 +120,11 @@
     restarted_.push_back(registration.id);
     return RegistryEvent::kRestarted;
   }
-  if (tookNewFlows && leaving) {
-    return RegistryEvent::kLeaving;
+  if (tookNewFlows && draining) {
+    return RegistryEvent::kDraining;
   }
-  if (!tookNewFlows && !leaving) {
-    return RegistryEvent::kReturned;
+  if (!tookNewFlows && !draining) {
+    return RegistryEvent::kReactivated;
   }
   return sameContent ? RegistryEvent::kRefreshed : RegistryEvent::kChanged;
 }
@@ -178,34 +178,34 @@
   if (!entry.present) {
     return RegistryEvent::kNone;
   }
-  markDeparted(key, entry, now);
-  return RegistryEvent::kVanished;
+  markRemoved(key, entry, now);
+  return RegistryEvent::kRemoved;
 }
 
-void BackendRegistry::markDeparted(const std::string& key, Entry& entry, Time now) {
+void BackendRegistry::markRemoved(const std::string& key, Entry& entry, Time now) {
   entry.present = false;
   entry.removedAt = now;
-  departures_[entry.address.service].emplace_back(now, key);
+  removals_[entry.address.service].emplace_back(now, key);
   refreshCandidate(entry);
 }
 
 std::vector<std::string> BackendRegistry::retainOnly(const std::set<std::string>& keys,
                                                      Revision listedAt, Time now) {
   ++generation_;
-  std::vector<std::string> vanished;
+  std::vector<std::string> removed;
   for (const auto& [key, entry] : entries_) {
     if (entry.present && entry.revision <= listedAt && !keys.contains(key)) {
-      vanished.push_back(key);
+      removed.push_back(key);
     }
   }
-  for (const std::string& key : vanished) {
+  for (const std::string& key : removed) {
     // The removal's revision is unknown; that of the listing is its upper bound.
     Entry& entry = entries_.at(key);
     entry.revision = listedAt;
     entry.isRemovalRevisionExact = false;
-    markDeparted(key, entry, now);
+    markRemoved(key, entry, now);
   }
-  return vanished;
+  return removed;
 }
 
 const BackendAddress* BackendRegistry::findLastAt(const Endpoint& endpoint) const {
@@ -306,13 +306,13 @@
   candidates_.clear();
 }
 
-void BackendRegistry::forget(const std::string& key, const Entry& entry) {
+void BackendRegistry::unindex(const std::string& key, const Entry& entry) {
   tokens_.RemoveBackend(entry.address.id);
   keys_.erase(entry.address.id);
   unlink(key, entry);
 }
 
-void BackendRegistry::discardDeparted(Time now) {
+void BackendRegistry::discardExpired(Time now) {
   const std::vector<std::string> over = evacuations_.ExpireLost(now);
   expired_.insert(expired_.end(), over.begin(), over.end());
   clearCandidatesIf(!over.empty());
@@ -324,7 +324,7 @@
       continue;
     }
     discardedRevision_ = std::max(discardedRevision_, entry.revision);
-    forget(item->first, entry);
+    unindex(item->first, entry);
     item = entries_.erase(item);
   }
   std::erase_if(unknownRemovals_, [this, now](const auto& item) {
@@ -332,7 +332,7 @@
     discardedRevision_ = std::max(discardedRevision_, isOld ? item.second.revision : 0);
     return isOld;
   });
-  for (auto& [service, list] : departures_) {
+  for (auto& [service, list] : removals_) {
     while (!list.empty() && now - list.front().first >= retention_) {
       list.pop_front();
     }
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -27,13 +27,13 @@
 /// The effect of an item on a backend; for logs.
 enum class RegistryEvent : std::uint8_t {
   kAdded,
-  kLeaving,    ///< Announced its shutdown.
-  kReturned,   ///< Active again after draining or removal.
-  kVanished,   ///< Its item was removed.
-  kRestarted,  ///< Restarted under the same id, without its previous state.
-  kChanged,    ///< Another field changed.
-  kRefreshed,  ///< Applied without a change of content.
-  kNone,       ///< Older than the known state, or without effect.
+  kDraining,     ///< Announced its shutdown.
+  kReactivated,  ///< Active again after draining or removal.
+  kRemoved,      ///< Its item was removed.
+  kRestarted,    ///< Restarted under the same id, without its previous state.
+  kChanged,      ///< Another field changed.
+  kRefreshed,    ///< Applied without a change of content.
+  kNone,         ///< Older than the known state, or without effect.
 };
 
 inline constexpr std::size_t kRegistryEvents = static_cast<std::size_t>(RegistryEvent::kNone) + 1;
@@ -133,16 +133,16 @@
 
   /// @return backends of a service that were removed after `since` without announcing their
   /// shutdown.
-  std::vector<PlacementCandidate> vanishedSince(ServiceId service, Time since) const;
+  std::vector<PlacementCandidate> unannouncedRemovalsSince(ServiceId service, Time since) const;
 
   /// @return the same if they are more than one in kMassExpiryRatio of the service, else none: so
   /// many at once indicate expired registrations rather than failed backends.
   std::vector<PlacementCandidate> expiredSince(ServiceId service, Time since);
   /// @return true if the backend was removed after `since` without announcing its shutdown.
-  bool hasVanishedSince(BackendId id, Time since) const;
+  bool wasRemovedUnannouncedSince(BackendId id, Time since) const;
 
   /// Discards removed backends and lost evacuations after their retention time.
-  void discardDeparted(Time now);
+  void discardExpired(Time now);
 
   /// @return every registration whose item is in the store.
   std::vector<StoreChange> contents() const;
@@ -186,7 +186,7 @@
   static bool isOlderUpdate(const Entry& entry, const Registration& registration,
                             Revision revision);
   PlacementCandidate candidateOf(const Entry& entry) const;
-  bool hasVanished(const Entry& entry, Time since) const;
+  bool wasRemovedUnannounced(const Entry& entry, Time since) const;
   /// @return true if the backend would get new flows if its zone were not evacuated.
   bool isServing(const Entry& entry) const;
   bool isCandidate(const Entry& entry) const;
@@ -196,14 +196,14 @@
   /// @return the current or latest backend at an address, or null.
   const BackendAddress* findLastAt(const Endpoint& endpoint) const;
   /// Records that an item is no longer in the store.
-  void markDeparted(const std::string& key, Entry& entry, Time now);
+  void markRemoved(const std::string& key, Entry& entry, Time now);
   /// Removes an entry from the indexes by service and address.
   void unlink(const std::string& key, const Entry& entry);
   /// @return the candidates of a service; built on first use.
   const CandidateList& candidateList(ServiceId service);
   /// Updates a cached candidate list after a change of an entry.
   void refreshCandidate(const Entry& entry);
-  void forget(const std::string& key, const Entry& entry);
+  void unindex(const std::string& key, const Entry& entry);
 
   Duration retention_;
   PlacementWeights& weights_;
@@ -216,7 +216,7 @@
   std::unordered_map<ServiceId, std::set<std::string>> services_;  ///< Keys of each service.
   std::map<Endpoint, std::set<std::string>> endpoints_;            ///< Keys at each address.
   /// Removal times and keys by service, oldest first, until discarded.
-  std::unordered_map<ServiceId, std::deque<std::pair<Time, std::string>>> departures_;
+  std::unordered_map<ServiceId, std::deque<std::pair<Time, std::string>>> removals_;
   std::vector<BackendId> restarted_;
   ZoneEvacuations evacuations_;
   std::vector<std::string> expired_;         ///< See takeExpiredEvacuations().
--- a/src/core/balancer.cc
+++ b/src/core/balancer.cc
@@ -136,7 +136,7 @@
   const bool returned = !change.isNew && !change.restarted && change.before == MemberState::kDead &&
                         isReachable(change.after);
   if (returned && change.id != options_.self.id) {
-    returnedMembers_.insert(change.id);
+    rejoinedMembers_.insert(change.id);
   }
 }
 
@@ -149,12 +149,12 @@
     eligible_ = std::move(eligible);
     homes_.onEligibleChanged(eligible_, placements_, now);
   }
-  const std::set<MemberId> returned = std::exchange(returnedMembers_, {});
+  const std::set<MemberId> returned = std::exchange(rejoinedMembers_, {});
   if (!returned.empty()) {
     for (auto& [service, placement] : placements_) {
       placement.unsettleMovedBuckets();
     }
-    homes_.onMembersReturned(returned, placements_, now);
+    homes_.onMembersRejoined(returned, placements_, now);
   }
   updatePartition(returned, now);
 }
@@ -211,7 +211,7 @@
     return;
   }
   // Without a list of peers the daemon cannot tell whether it is the first one. If peers are listed
-  // but none is heard, a network partition is likely.
+  // but no message arrives, a network partition is likely.
   const bool isolatedJoiner =
       membership_.selfState() == MemberState::kJoining && hasSeeds_ && lastMessageAt_ == Time{};
   const Duration wait = isolatedJoiner ? kFenceIsolatedTimeout : kFencePeerTimeout;
@@ -248,20 +248,20 @@
   if (now >= nextMaintenance_) {
     nextMaintenance_ = now + kMaintenanceInterval;
     const Duration keep = options_.flowIdleTimeout * kRecordIdleFactor;
-    for (const BackendId gone : directory_.removeExpired(now, keep)) {
-      homes_.removeBackend(gone);
+    for (const BackendId removed : directory_.removeExpired(now, keep)) {
+      homes_.removeBackend(removed);
     }
   }
 }
 
-void Balancer::beginLeaving(Time now) {
+void Balancer::beginShutdown(Time now) {
   leaving_ = true;
   membership_.announce(MemberState::kLeaving, now);
   applyMembershipChanges(now);
   membership_.probeRandomPeers(kUpdateFanout);
 }
 
-void Balancer::finishLeaving(Time now) {
+void Balancer::finishShutdown(Time now) {
   membership_.announce(MemberState::kLeft, now);
   membership_.probeRandomPeers(kUpdateFanout);
 }
--- a/src/core/shard_state.h
+++ b/src/core/shard_state.h
@@ -24,10 +24,10 @@
 
 /// How an owner treats a flow without a record.
 enum class UnknownFlowRule : std::uint8_t {
-  kIsNew,          ///< All old flows are recorded, so the flow is new.
-  kAssumeOld,      ///< Buckets moved recently; the flow may belong to the previous backend.
-  kDrop,           ///< Records may be missing: drop the packet and let the client retransmit.
-  kAskFormerHome,  ///< The former home has the records until the handover is complete.
+  kIsNew,            ///< All old flows are recorded, so the flow is new.
+  kAssumeOld,        ///< Buckets moved recently; the flow may belong to the previous backend.
+  kDrop,             ///< Records may be missing: drop the packet and let the client retransmit.
+  kQueryFormerHome,  ///< The former home has the records until the handover is complete.
 };
 
 class ShardState {
@@ -88,7 +88,7 @@
   /// Call when a member has sent all its flows that need a record for a placement version.
   /// @param full true if it listed the whole shard, false if only the moved buckets.
   void onReport(MemberId member, ConfigurationVersion version, bool full);
-  /// Stops waiting for reports of a member that died or left.
+  /// Stops waiting for reports of a member that failed or left.
   void onMemberUnreachable(MemberId member);
   /// @return the members whose full listing is pending.
   std::set<MemberId> missingListings(Time now) const;
--- a/src/sim/simulation_faults.cc
+++ b/src/sim/simulation_faults.cc
@@ -70,7 +70,7 @@
       daemon->stopRequestedAt = queue_.now();
       daemon->receivesUntil = queue_.now() + scenario_.fabricLag;
       daemon->deliver([this, daemon] {
-        daemon->router().beginLeaving(queue_.now());
+        daemon->router().beginShutdown(queue_.now());
         flush(daemon);
       });
       break;
--- a/src/sim/simulation_traffic.cc
+++ b/src/sim/simulation_traffic.cc
@@ -86,7 +86,7 @@
     if (peer == nullptr) {
       return;
     }
-    const core::PeerArrival arrival{ingress, peerForward->hops, peerForward->wantsListing};
+    const core::PeerArrival arrival{ingress, peerForward->hops, peerForward->needsListing};
     transmit(daemon->zone(), peer->zone(), [this, peer, request, arrival] {
       peer->deliver([this, peer, request, arrival] {
         const core::Verdict next =
@@ -177,7 +177,7 @@
     const bool stopping = daemon->stopRequestedAt != core::Time{};
     if (stopping && now - daemon->stopRequestedAt >= scenario_.shutdownDelay &&
         daemon->router().handoverDone()) {
-      daemon->router().finishLeaving(now);
+      daemon->router().finishShutdown(now);
       flush(daemon);
       daemon->kill();
       daemon->endedAt = now;
--- a/tests/core/registration_order_test.cc
+++ b/tests/core/registration_order_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Order of a backend's registration updates if the store returns older ones, after a restore or a
-/// delayed write.
+/// Order of a backend's registration updates when the store applies a write late or is restored
+/// from an older copy.
 #include <boost/test/unit_test.hpp>
 
 #include "core/backend_registry.h"
@@ -25,11 +25,12 @@
 
   std::uint64_t startedAtMs = 0;
 
-  RegistryEvent putRegistration(BackendState state, std::uint64_t statement, Revision revision) {
+  RegistryEvent putRegistration(BackendState state, std::uint64_t updateSequence,
+                                Revision revision) {
     core::Registration registration = makeRegistration(1, "web", 1, 1);
     registration.startedAtMs = startedAtMs;
     registration.state = state;
-    registration.statement = statement;
+    registration.updateSequence = updateSequence;
     return backends.put(kKey, registration, revision, now);
   }
 
@@ -58,7 +59,7 @@
   BOOST_TEST(takesNewFlows());
 }
 
-BOOST_AUTO_TEST_CASE(late_older_statement_is_ignored) {
+BOOST_AUTO_TEST_CASE(late_older_update_is_ignored) {
   startedAtMs = 5;
   putRegistration(BackendState::kActive, 10, 20);
   putRegistration(BackendState::kDraining, 12, 21);
@@ -66,10 +67,10 @@
   BOOST_TEST(!takesNewFlows());
 }
 
-// The backend restarted under the same id, and its numbers start again.
-BOOST_AUTO_TEST_CASE(restarted_statement_numbers_are_accepted) {
+// A backend that restarts under the same id numbers its updates from the start.
+BOOST_AUTO_TEST_CASE(restarted_update_sequence_is_accepted) {
   putRegistration(BackendState::kActive, 10, 20);
-  BOOST_TEST((putRegistration(BackendState::kDraining, 1, 21) == RegistryEvent::kLeaving));
+  BOOST_TEST((putRegistration(BackendState::kDraining, 1, 21) == RegistryEvent::kDraining));
   startedAtMs = 5;
   putRegistration(BackendState::kDraining, 10, 22);
   backends.remove(kKey, 23, now);
@@ -85,8 +86,8 @@
   BOOST_TEST(!takesNewFlows());
 }
 
-// Heartbeats do not raise the revision, so after a restore only the item itself shows that the
-// backend exists.
+// Late heartbeats let a registration expire. Heartbeats do not increment the revision, so only the
+// item of the restored store shows that the backend is present.
 BOOST_AUTO_TEST_CASE(expired_backend_in_restored_store_takes_new_flows) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   backends.remove(kKey, {StoreEra{1}, 47}, now);
@@ -98,7 +99,7 @@
 BOOST_AUTO_TEST_CASE(later_era_listing_recognizes_unchanged_items) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   core::Registration item = *backends.findPresent(kKey);
-  item.statement = 14;
+  item.updateSequence = 14;
   BOOST_TEST(backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 20}));
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{1}, 20}));
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 45}));
@@ -109,7 +110,7 @@
   BOOST_TEST(!backends.isUnchangedSinceEarlierEra(kKey, item, {StoreEra{2}, 20}));
 }
 
-// The restored store lacked the item, and it was written again under its previous number.
+// The restored store lacked the item, which was then written again with its previous number.
 BOOST_AUTO_TEST_CASE(same_revision_number_in_later_era_is_a_change) {
   putRegistration(BackendState::kActive, 10, {StoreEra{1}, 20});
   BOOST_TEST(
@@ -118,7 +119,7 @@
   BOOST_TEST(takesNewFlows());
 }
 
-// The restored store lacks the later backend at the same address.
+// The address now belongs to a later backend, which the restored store lacked.
 BOOST_AUTO_TEST_CASE(restored_stale_backend_is_superseded_by_current_one) {
   const auto put = [this](std::uint64_t id, Revision revision) {
     backends.put("servers/" + std::to_string(id), makeRegistration(id, "web", 1, 1), revision, now);
--- a/tests/core/relay/relay_changes_test.cc
+++ b/tests/core/relay/relay_changes_test.cc
@@ -115,7 +115,7 @@
 
 // An outdated response without changes must not advance a view past changes
 // that it lacks.
-BOOST_AUTO_TEST_CASE(answer_without_changes_does_not_advance_the_view)
+BOOST_AUTO_TEST_CASE(response_without_changes_does_not_advance_the_view)
 {
   this->Run(5s);
   Node& peer = *this->Readers()[0];
@@ -162,7 +162,7 @@
   const core::Time clock = starting.Clock(this->Now);
   const auto listing = starting.Reader.nextRead(clock);
   BOOST_REQUIRE(listing.has_value());
-  starting.Reader.onReply(this->Store.answer(*listing), clock);
+  starting.Reader.onReply(this->Store.replyTo(*listing), clock);
   starting.Relay.OnStoreReply(clock);
   BOOST_REQUIRE(starting.Reader.isCatchingUp());
   Node& seed = *this->Readers()[0];
--- a/tests/core/token_openings_test.cc
+++ b/tests/core/token_openings_test.cc
@@ -90,7 +90,7 @@
   BOOST_TEST(flowsOfFirst(400, 100) >= 50);
 }
 
-BOOST_AUTO_TEST_CASE(leaving_backend_keeps_its_flows_and_gets_no_new_flow) {
+BOOST_AUTO_TEST_CASE(draining_backend_keeps_its_flows_and_gets_no_new_flow) {
   core::Registration leaving = makeRegistration(1, "web", 1, 1);
   leaving.state = core::BackendState::kDraining;
   putBackend(1, leaving);
@@ -125,7 +125,7 @@
 
 BOOST_AUTO_TEST_CASE(service_without_backends_refuses_as_not_run_after_grace_period) {
   removeBackends();
-  now += core::kVanishedBackendGracePeriod;
+  now += core::kUnannouncedRemovalGracePeriod;
   BOOST_TEST((dropReasonOf(open(1)) == DropReason::kEmptyService));
   now += core::kEmptyServiceGracePeriod;
   const core::Verdict verdict = open(2);
@@ -149,14 +149,14 @@
   }
   BOOST_TEST(flows.size() == 4U);
   // Backends that did not register again are removed after the grace period.
-  now += core::kVanishedBackendGracePeriod;
+  now += core::kUnannouncedRemovalGracePeriod;
   for (std::uint16_t port = 20; port <= 29; ++port) {
     now += 100ms;
     BOOST_TEST((establishFlow(port) == BackendId{4}));
   }
 }
 
-BOOST_AUTO_TEST_CASE(single_vanished_backend_gets_no_flow) {
+BOOST_AUTO_TEST_CASE(single_backend_removed_unannounced_gets_no_flow) {
   steering.backends().remove(keyOf(1), ++revision, now);
   for (std::uint16_t port = 1; port <= 20; ++port) {
     now += 50ms;
@@ -185,11 +185,11 @@
   }
 }
 
-// A single vanished backend is used only if its service has no other.
-BOOST_AUTO_TEST_CASE(only_backend_receives_flows_during_grace_period_after_vanishing) {
+// A single backend that was removed unannounced is used only if its service has no other.
+BOOST_AUTO_TEST_CASE(only_backend_receives_flows_during_grace_period_after_removal) {
   steering.backends().remove(keyOf(1), ++revision, now);
   steering.backends().remove(keyOf(2), ++revision, now);
-  now += core::kVanishedBackendGracePeriod;
+  now += core::kUnannouncedRemovalGracePeriod;
   steering.backends().remove(keyOf(3), ++revision, now);
   now += 1s;
   BOOST_TEST((backendOf(open(1)) == BackendId{3}));
@@ -206,7 +206,7 @@
   BOOST_TEST((routeReasonOf(again) == RouteReason::kRepeated));
 }
 
-BOOST_AUTO_TEST_CASE(leaving_backends_get_no_flow_after_removal) {
+BOOST_AUTO_TEST_CASE(draining_backends_get_no_flow_after_removal) {
   for (std::uint8_t host = 1; host <= 3; ++host) {
     core::Registration leaving = makeRegistration(host, "web", 1, host);
     leaving.state = core::BackendState::kDraining;
--- a/tests/core/token_steering_test.cc
+++ b/tests/core/token_steering_test.cc
@@ -34,7 +34,7 @@
   BOOST_TEST((dropReasonOf(open(1, 1)) == DropReason::kStaleOpening));
 }
 
-BOOST_AUTO_TEST_CASE(vanished_backend_is_reachable_by_token_until_the_flow_age_limit) {
+BOOST_AUTO_TEST_CASE(removed_backend_is_reachable_by_token_until_the_flow_age_limit) {
   steering.backends().remove(keyOf(1), ++revision, now);
   BOOST_TEST((backendOf(send(99, BackendId{1}, 5, 10)) == BackendId{1}));
   now += 61s;
@@ -145,7 +145,7 @@
   BOOST_TEST((backendOf(send(1, backend, 1, 100)) == backend));
 }
 
-// A leaving backend may stop listening while it still serves its flows, which must not be reset.
+// A draining backend may stop listening while it still serves its flows, which must not be reset.
 BOOST_AUTO_TEST_CASE(backend_that_refuses_connections_keeps_its_flows) {
   const BackendId backend = establishFlow(1);
   core::Registration leaving = makeRegistration(static_cast<std::uint64_t>(backend), "web", 1,
--- a/tests/platform/store_items_test.cc
+++ b/tests/platform/store_items_test.cc
@@ -95,7 +95,7 @@
   BOOST_TEST(registration.service == "web");
   BOOST_TEST(net::formatEndpoint(registration.endpoint) == "10.128.0.9:8080");
   BOOST_TEST(registration.capacity == 2U);
-  BOOST_TEST(registration.warmUpLeft.count() == 700);
+  BOOST_TEST(registration.remainingWarmUp.count() == 700);
   BOOST_TEST((registration.state == core::BackendState::kActive));
 }
 
@@ -256,7 +256,7 @@
 
 BOOST_AUTO_TEST_CASE(truncated_or_oversized_msgpack_is_malformed) {
   const std::string complete = asMsgpack(R"({"events":[],"at":530})");
-  BOOST_TEST((parse(200, complete).outcome == ReadOutcome::kAnswered));
+  BOOST_TEST((parse(200, complete).outcome == ReadOutcome::kSucceeded));
   for (std::size_t size = 0; size < complete.size(); ++size) {
     const core::StoreReply reply = parse(200, complete.substr(0, size));
     BOOST_TEST((reply.outcome == ReadOutcome::kMalformed));
