--- a/src/core/admission/admission_limits.h
+++ b/src/core/admission/admission_limits.h
@@ -20,9 +20,11 @@
 inline constexpr std::size_t kMinIntervals = 4;
 /// Minimum number of intervals in the most recent statistics.
 inline constexpr std::size_t kRecentIntervals = 2;
-/// Results that extend the most recent statistics beyond kRecentIntervals.
+/// The most recent statistics extend beyond kRecentIntervals until they
+/// contain this many results.
 inline constexpr std::uint32_t kMinRecentResults = 30;
-/// Results that extend the statistics for an update beyond kMinIntervals.
+/// The statistics for an update extend beyond kMinIntervals until they contain
+/// this many results.
 inline constexpr std::uint32_t kTargetResults = 40;
 /// With fewer results, no connection attempt is refused.
 inline constexpr std::uint32_t kMinResults = 20;
@@ -53,6 +55,7 @@
 inline constexpr double kLowRejectionRatio = 0.3;
 /// First increment of the growth factor; doubles with every further one.
 inline constexpr double kInitialLimitGrowth = 0.05;
+/// Maximum number of times that the increment doubles.
 inline constexpr std::uint32_t kMaxGrowthDoublings = 5;
 /// Minimum number of results between two increments.
 inline constexpr std::uint64_t kMinResultsPerGrowth = 8;
--- a/src/core/load/fleet_load.h
+++ b/src/core/load/fleet_load.h
@@ -53,8 +53,8 @@
  * In each round the root sends a report request down the tree.  Each daemon
  * reports the sum of its own load and of its followers' reports to its
  * upstream as soon as it has received those.  The root sends the total down
- * the tree as a summary.  A daemon that sees rejections while the report
- * interval is long reports without a request.
+ * the tree as a summary.  While the report interval is long, a daemon that
+ * sees rejections reports them without a request.
  *
  * No daemon is counted twice.  A report expires at a time on its receiver's
  * clock, however late it arrives.  After a change of upstream, a daemon sends
--- a/src/core/load/load_limits.h
+++ b/src/core/load/load_limits.h
@@ -27,6 +27,7 @@
 /// A flow without packets for this long is no longer tracked; longer than
 /// clients wait for a response.
 inline constexpr Duration kTrackingIdleTimeout = 15s;
+/// Interval at which flows past kTrackingIdleTimeout are removed.
 inline constexpr Duration kIdleSweepInterval = 1s;
 /// Maximum number of openings tracked at the same time.
 inline constexpr std::size_t kMaxTrackedOpenings = 8192;
@@ -57,12 +58,14 @@
 /// time is unknown.
 inline constexpr Duration kMinRequestTimeout = 150ms;
 inline constexpr Duration kMaxRequestTimeout = 2000ms;
-/// A response up to this late still updates the typical response time.
+/// A response up to this long after its request updates the typical response
+/// time.
 inline constexpr Duration kRequestRetention = 10s;
 /// Minimum weight of the latest response time in the average.
 inline constexpr double kMinResponseTimeWeight = 0.1;
 /// Time after which an opening without a response is no longer counted.
 inline constexpr Duration kOpeningTimeout = kResetDetectionTimeout;
+/// Maximum number of requests and openings tracked by a LoadMeter.
 inline constexpr std::size_t kMaxCountedRequests = 8192;
 /// Buckets of the sliding window of one second; one per tick of the daemon.
 inline constexpr std::size_t kLoadWindowBuckets = 5;
@@ -105,7 +108,8 @@
 inline constexpr std::size_t kMaxLoadsPerMessage = 64;
 /// The same while no zone is busy.
 inline constexpr std::size_t kMaxLoadsPerNormalMessage = 16;
-/// Maximum value accepted from one daemon; more than any machine carries.
+/// Maximum of each load value accepted from one daemon; more than any machine
+/// carries.
 inline constexpr std::uint32_t kMaxLoadPerDaemon = 8192;
 
 } // namespace cobaltgauge::core
--- a/src/core/placement/backend_chooser.cc
+++ b/src/core/placement/backend_chooser.cc
@@ -9,9 +9,10 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Factor by which backends that are warming up are slower.
+/// Assumed slowdown factor of backends that are warming up.
 constexpr double kWarmUpFactor = 1.6;
-/// Resolution of random decisions by a share of openings.
+/// Number of steps that a share of openings is rounded to for a random
+/// decision.
 constexpr std::uint64_t kShareResolution = 1U << 20U;
 
 } // namespace
--- a/src/core/placement/zone_spillover.h
+++ b/src/core/placement/zone_spillover.h
@@ -33,12 +33,13 @@
  * \brief Controls the share of openings that stay in the zone preferred by the
  * policy.
  *
- * All openings stay while the wait in the zone is not much longer than
- * elsewhere; above that, as many stay as keep it so.  The target is computed
- * from the statistics and from the share in effect when they were measured, so
- * that it does not depend on their age.  The share approaches the target with
- * a time constant of half that age and a bounded rate, which prevents
- * oscillation.  Without statistics it returns to one.
+ * All openings stay while the wait in the zone exceeds that of the least
+ * loaded zone by at most kMaxExtraLocalWait; beyond that, the share is reduced
+ * to meet this bound.  The target is computed from the statistics and from the
+ * share in effect when they were measured, so that it does not depend on their
+ * age.  The share approaches the target with a time constant of half that age
+ * and a bounded rate, which prevents oscillation.  Without statistics it
+ * returns to one.
  */
 class ZoneSpillover
 {
--- a/src/core/probe/failure_probe.h
+++ b/src/core/probe/failure_probe.h
@@ -61,6 +61,8 @@
 public:
   static constexpr std::size_t kAttempts = 3;
   static constexpr std::size_t kMaxWitnesses = 2;
+  // Durations in microseconds.
+
   /// Time between attempts; allows a full accept queue to drain.
   static constexpr Duration kAttemptInterval{ 75'000 };
   /// Time to respond to the last attempt; well above inter-region round trips.
--- a/src/core/tokens/address_token.cc
+++ b/src/core/tokens/address_token.cc
@@ -7,7 +7,8 @@
 
 constexpr unsigned kCheckBits = 8;
 constexpr std::uint32_t kCheckMask = (1U << kCheckBits) - 1;
-/// The high bits of a product depend on all bits of both factors.
+/// Selects the high bits of a product, which depend on all bits of both
+/// factors.
 constexpr unsigned kCheckShift = 32 - kCheckBits;
 
 std::uint8_t ComputeCheck(std::uint32_t multiplier, std::uint16_t port)
--- a/src/core/tokens/port_finder.h
+++ b/src/core/tokens/port_finder.h
@@ -14,8 +14,8 @@
 /** \class PortFinder
  * \brief Collects tokens of several hosts until exactly one port matches.
  *
- * A wrong port matches the check of a token with probability 1/256, and those
- * of kMinHostsForPort hosts with probability 1/65536 for all ports together.
+ * A wrong port matches the check of a token with probability 1/256.  The
+ * probability that any wrong port matches kMinHostsForPort checks is 1/65536.
  * Three quarters of the tokens have to match, as some may be hash tokens.
  */
 class PortFinder
--- a/src/core/warmup/warm_up_budget.h
+++ b/src/core/warmup/warm_up_budget.h
@@ -18,8 +18,8 @@
  *
  * The rate limit of a backend is divided by the number of daemons.  Fractions
  * of an attempt are rounded up at some daemons, selected by a hash of daemon
- * and backend, so that the fleet uses its intended share on average without
- * coordination between daemons.
+ * and backend, so that the fleet uses the intended share of the limit on
+ * average without coordination between daemons.
  */
 class WarmUpBudget
 {
