--- a/src/core/domains/unreachable_groups.h
+++ b/src/core/domains/unreachable_groups.h
@@ -39,7 +39,7 @@
  * member responds or accepts a connection meanwhile, all current members are
  * deprioritized for a short time, which further failed probes extend.  A
  * response or connection of any of them restores the group.  Overloaded, slow
- * and warming-up backends accept connections and don't count as failed.
+ * and warming-up backends accept connections and do not count as failed.
  */
 class UnreachableGroups : public Demotion
 {
--- a/src/core/load/load_statistics.h
+++ b/src/core/load/load_statistics.h
@@ -91,8 +91,9 @@
 /** \class CapacityView
  * \brief Provides the used capacity of zones to placement and admission.
  *
- * Slots are counted from this daemon's view of the backends that accept flows;
- * requests in flight are those of the whole fleet.
+ * A slot is one request that a backend handles concurrently.  Slots are
+ * counted from this daemon's view of the backends that accept flows; requests
+ * in flight are those of the whole fleet.
  */
 class CapacityView
 {
--- a/src/core/placement/backend_chooser.h
+++ b/src/core/placement/backend_chooser.h
@@ -20,8 +20,8 @@
 /// The backend selected for a new flow, with the inputs of the decision.
 struct PlacementChoice
 {
-  BackendId Id = kNoBackend; ///< kNoBackend: no backend is available.
-  std::uint32_t Capacity = 1;
+  BackendId Id = kNoBackend;  ///< kNoBackend: no backend is available.
+  std::uint32_t Capacity = 1; ///< Concurrent requests (slots).
   bool Busy = true;           ///< Received another opening very recently.
   bool WarmUpLimited = false; ///< Is subject to a warm-up rate limit.
   bool Spilled = false;       ///< Left the preferred zone due to overload.
--- a/src/core/placement/placement_candidate.h
+++ b/src/core/placement/placement_candidate.h
@@ -13,7 +13,7 @@
 {
   BackendId id = kNoBackend;
   ServiceId service{ 0 };
-  std::uint32_t capacity = 1;
+  std::uint32_t capacity = 1; ///< Concurrent requests (slots).
   std::uint32_t weight = kDefaultPlacementWeight;
   Time warmUntil{}; ///< End of the warm-up.
   RegionId region = kNoRegion;
--- a/src/core/placement/placement_limits.h
+++ b/src/core/placement/placement_limits.h
@@ -46,13 +46,13 @@
 
 /// Time constant of the exponential decay of samples.
 inline constexpr Duration kSampleDecayTime = 400ms;
-/// Minimum decayed weight of samples for an estimate.
+/// Minimum number of samples, after decay, for an estimate.
 inline constexpr double kMinSampleWeight = 6;
 /// Time constant of the baseline of response times.
 inline constexpr Duration kBaselineDecayTime = 10s;
 /// The same while responses are slow; longer than a burst of load.
 inline constexpr Duration kBaselineDecayTimeUnderLoad = 60s;
-/// A sample changes the baseline by at least one part in this many.
+/// Reciprocal of the minimum weight of a sample in the baseline.
 inline constexpr double kBaselineMaxSamples = 100;
 /// Ratio to the baseline from which responses count as slow.
 inline constexpr double kSlowResponseRatio = 1.5;
--- a/src/core/probe/failure_probe.cc
+++ b/src/core/probe/failure_probe.cc
@@ -66,7 +66,7 @@
   if (this->StepCount == 1) {
     return step;
   }
-  // Later rounds only use witnesses that responded in the first one.
+  // Later attempts use only the witnesses that responded in the second one.
   for (std::size_t i = 0; i < this->WitnessCount; ++i) {
     step.ConnectsToWitness[i] =
       this->StepCount == 2 || this->WitnessResponded[1][i];
--- a/src/core/probe/failure_probe.h
+++ b/src/core/probe/failure_probe.h
@@ -32,7 +32,7 @@
 {
   kNone,
   kTimerLate,  ///< A timer was late, as after a suspension.
-  kNoWitness,  ///< No witness responded in one of the rounds.
+  kNoWitness,  ///< None responded in an attempt that used witnesses.
   kLocalError, ///< A connection attempt failed locally.
 };
 
--- a/src/core/probe/witness_selection.cc
+++ b/src/core/probe/witness_selection.cc
@@ -35,7 +35,7 @@
   Time RespondedAt{};
 };
 
-/// Limit of candidates examined for missing witnesses; they may include the
+/// Maximum number of candidates examined for missing witnesses, including the
 /// suspect and witnesses that are already selected.
 constexpr std::size_t kMaxSampledCandidates = 8;
 
