--- a/src/core/probe/failure_probe.h
+++ b/src/core/probe/failure_probe.h
@@ -32,7 +32,7 @@
 {
   kNone,
   kTimerLate,  ///< A timer was late, as after a suspension.
-  kNoWitness,  ///< No witness responded in one of the rounds.
+  kNoWitness,  ///< None responded in an attempt that used witnesses.
   kLocalError, ///< A connection attempt failed locally.
 };
 
@@ -61,6 +61,8 @@
 public:
   static constexpr std::size_t kAttempts = 3;
   static constexpr std::size_t kMaxWitnesses = 2;
+  // Durations in microseconds.
+
   /// Time between attempts; allows a full accept queue to drain.
   static constexpr Duration kAttemptInterval{ 75'000 };
   /// Time to respond to the last attempt; well above inter-region round trips.
