--- a/src/core/admission.cc
+++ b/src/core/admission.cc
@@ -6,7 +6,8 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Share of the bucket that is reserved for the highest priority.
+/// Share of the bucket that the lowest priority cannot use. Decreases linearly to zero for the
+/// highest priority.
 constexpr double kReservedShare = 0.5;
 
 }  // namespace
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -203,6 +203,7 @@
   const CandidateList& candidateList(ServiceId service);
   /// Updates a cached candidate list after a change of an entry.
   void refreshCandidate(const Entry& entry);
+  /// Removes an entry from all indexes.
   void unindex(const std::string& key, const Entry& entry);
 
   Duration retention_;
--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -34,14 +34,20 @@
 /// How long a daemon waits for the other side of a recovered network partition to confirm its view.
 inline constexpr Duration kRecoveryConfirmationTimeout = 500ms;
 
-/// Membership protocol period, probe timeouts and suspicion time (SWIM, Das et al. 2002).
+/// Protocol period of the membership protocol, time without an Ack after which indirect probes are
+/// sent, and time after which a suspect that has not refuted counts as dead (SWIM, Das et al.
+/// 2002).
 inline constexpr Duration kProbeInterval = 300ms;
 inline constexpr Duration kDirectProbeTimeout = 100ms;
 inline constexpr Duration kSuspicionTimeout = 1200ms;
+/// How long the view hashes of two daemons must differ before they exchange full member lists, and
+/// minimum time between two such exchanges.
 inline constexpr Duration kMemberSyncInterval = 20s;
 /// Retention of dead and departed members, so that stale gossip cannot add them again.
 inline constexpr Duration kDeadMemberRetention = 600s;
+/// Maximum number of members that send an indirect probe for one failed direct probe.
 inline constexpr std::size_t kIndirectProbeCount = 3;
+/// Maximum number of queued membership updates in one probe message.
 inline constexpr std::size_t kMaxUpdatesPerMessage = 8;
 
 /// Resend interval and total timeout of reliable peer messages.
@@ -52,8 +58,7 @@
 
 /// How long a new home relays to the previous home while it waits for the flow records.
 inline constexpr Duration kHandoverTimeout = 2000ms;
-/// Reports of moves acknowledged within this time may be lost if the home fails, because its
-/// replica may not have them yet.
+/// How long after a move of buckets a replica may lack flows that were reported to the home.
 inline constexpr Duration kRecentMoveWindow = 10s;
 /// How long a home that lost its records waits for the listings of the members.
 inline constexpr Duration kListingTimeout = 1500ms;
@@ -162,7 +167,7 @@
 inline constexpr std::uint32_t kViewUnitsPerSecond = 64;
 /// Backends and routes in one unit, at 60 to 100 bytes each.
 inline constexpr std::size_t kItemsPerViewUnit = 200;
-/// Peers that are queried at once, and peers that are kept.
+/// Maximum number of peers that are queried at once, and of known peers.
 inline constexpr std::size_t kPeersPerQuery = 2;
 inline constexpr std::size_t kMaxViewPeers = 32;
 
@@ -241,7 +246,8 @@
 inline constexpr std::uint64_t kMinResponsesPerLate = 3;
 /// Outliers are ignored if there is more than one for this many backends.
 inline constexpr std::size_t kMinBackendsPerOutlier = 3;
-/// Limits of stored and sent items.
+/// Maximum number of requests whose response time is monitored, of observations that wait to be
+/// reported, and of outliers in one update.
 inline constexpr std::size_t kMaxPendingResponses = 8192;
 inline constexpr std::size_t kMaxObservations = 64;
 inline constexpr std::size_t kMaxReportedOutliers = 64;
@@ -286,14 +292,15 @@
 inline constexpr std::size_t kMaxFollowers = 32;
 /// Maximum number of followers from any one other network. Two provide redundancy.
 inline constexpr std::size_t kMaxRemoteFollowers = 2;
-/// Peers that are selected at random to query the nearest of them.
+/// Number of peers that are selected at random; the nearest of them is queried.
 inline constexpr std::size_t kPeerSampleSize = 8;
-/// Followers that are listed in a response, so that daemons learn of peers other than the seeds.
+/// Number of followers that are listed in a response, so that daemons learn of peers other than the
+/// seeds.
 inline constexpr std::size_t kAdvertisedPeers = 4;
 /// Maximum number of items in one update. A follower that lacks more requests the rest in parts.
 /// Larger changes are not logged; followers read them from the store. An item has about 100 bytes.
 inline constexpr std::size_t kMaxBatchItems = 128;
-/// Maximum number of items that a log keeps, at about 300 bytes each, and that are relayed.
+/// Maximum number of items in a change log, at about 300 bytes each, and of batches that they form.
 inline constexpr std::size_t kMaxLogItems = 1024;
 inline constexpr std::size_t kMaxLogBatches = 256;
 
--- a/src/core/flow_table.cc
+++ b/src/core/flow_table.cc
@@ -6,6 +6,7 @@
 namespace cobaltgauge::core {
 namespace {
 
+/// Entries per set.
 constexpr std::size_t kWays = 8;
 
 std::uint32_t toSeconds(Time time) {
--- a/src/core/hashing.cc
+++ b/src/core/hashing.cc
@@ -10,6 +10,7 @@
 namespace cobaltgauge::core {
 namespace {
 
+/// Sizes of the hashed forms: address, IP version and port; protocol and two endpoints.
 constexpr std::size_t kEndpointBytes = 19;
 constexpr std::size_t kFlowBytes = 1 + 2 * kEndpointBytes;
 
--- a/src/core/hashing.h
+++ b/src/core/hashing.h
@@ -30,8 +30,9 @@
 /// @return the identifier of one incarnation of a backend of a service.
 BackendId backendIdOf(ServiceId service, const Endpoint& endpoint, std::uint32_t incarnation);
 
-/// Hashes a flow key with the cluster's seed, so that clients cannot choose flows that map to one
-/// bucket. The key includes the destination, so that two services have no flow key in common.
+/// Hashes a flow key with a seed that all daemons share, so that clients cannot choose flows that
+/// map to one bucket. The key includes the destination, so that two services have no flow key in
+/// common.
 FlowFingerprint fingerprintOf(const FlowKey& flow, std::uint64_t seed);
 
 /// @return the bucket index in [0, kBucketCount) of a flow within its service.
--- a/src/core/member_list.h
+++ b/src/core/member_list.h
@@ -67,7 +67,7 @@
   /// Resets the time of every state change to `now`, after this process was suspended.
   void resetStateTimes(Time now);
 
-  /// Removes members that have been dead or left for longer than kDeadMemberMemory.
+  /// Removes members that have been dead or left for longer than kDeadMemberRetention.
   void removeExpired(Time now);
 
   static MemberUpdate toUpdate(const Member& member);
--- a/src/core/outbox.h
+++ b/src/core/outbox.h
@@ -1,6 +1,6 @@
 /// @file
 /// Queue of outgoing messages. Reliable messages are retransmitted until they are acknowledged or
-/// kResendGiveUp has passed.
+/// kResendTimeout has passed.
 #pragma once
 
 #include <cstdint>
--- a/src/core/record_transfers.cc
+++ b/src/core/record_transfers.cc
@@ -7,7 +7,7 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Longer than a sender can retransmit a batch.
+/// How long the received batches of a transfer are tracked. Longer than a sender retransmits them.
 constexpr Duration kTransferRetention = 4 * kResendTimeout;
 
 }  // namespace
--- a/src/core/relay/view_backfill.cc
+++ b/src/core/relay/view_backfill.cc
@@ -33,6 +33,7 @@
 /// One in this many selections ignores the peers known to have full views,
 /// which may be gone.
 constexpr std::uint64_t kExplorationInterval = 4;
+/// Maximum number of stored peers that are known to have full views.
 constexpr std::size_t kMaxFullViewPeers = 8;
 
 } // namespace
--- a/src/core/route_table.cc
+++ b/src/core/route_table.cc
@@ -7,7 +7,8 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// Daemons are rarely behind by more than a few seconds, even if versions change rapidly.
+/// Maximum number of route deltas that are kept for peers with an older version. Peers that are
+/// further behind get the full route set.
 constexpr std::size_t kMaxRecentDeltas = 32;
 
 std::vector<RegionId> regionsOf(const Route& route) {
--- a/src/core/view_exchange.h
+++ b/src/core/view_exchange.h
@@ -3,9 +3,9 @@
 /// itself to its seeds at start, requests views while it has none or while its reads have failed
 /// for some time, and answers requests. Nothing is sent while the store answers.
 ///
-/// A view is complete up to its revision and ordered with the store's responses by it, so a peer
-/// can never set a daemon back to an older state. A view from a peer does not count as current and
-/// is no reason to reject connection attempts.
+/// A view is complete up to its revision, which orders it among the store's responses. A peer can
+/// therefore never set a daemon back to an older state. A view from a peer does not count as
+/// current and is no reason to reject connection attempts.
 #pragma once
 
 #include <vector>
--- a/src/core/weighted_split.cc
+++ b/src/core/weighted_split.cc
@@ -5,6 +5,7 @@
 namespace cobaltgauge::core {
 namespace {
 
+/// Upper bound of the number of initial steps to skip, which limits the time to build a split.
 constexpr std::uint64_t kMaxStartOffset = 1000;
 
 }  // namespace
