--- a/src/core/constants.h
+++ b/src/core/constants.h
@@ -133,8 +133,8 @@
 /// kSmallFleetPeers, on a daemon that receives messages from seeds.
 inline constexpr std::size_t kSmallFleetPeers = 8;
 inline constexpr Duration kStartupReadBackoffPerPeer = 30ms;
-/// Backoff after kFailuresBeforeSeedBackoff consecutive failures on a daemon that receives messages
-/// from a seed, which also reads the store. Half of it is random.
+/// Backoff after more than kFailuresBeforeSeedBackoff consecutive failures on a daemon that
+/// receives messages from a seed, which also reads the store. Half of it is random.
 inline constexpr Duration kReadBackoffWithSeed = 3000ms;
 inline constexpr std::uint32_t kFailuresBeforeSeedBackoff = 1;
 /// Pause after a read on a daemon that receives messages from a seed, so that it can find a daemon
--- a/src/core/relay/view_backfill.cc
+++ b/src/core/relay/view_backfill.cc
@@ -11,8 +11,8 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// About 20 KB.  Larger pages would block packet processing for too long on a
-/// small machine.
+/// Maximum number of backends in one page, about 20 KB.  Larger pages would
+/// block packet processing for too long on a small machine.
 constexpr std::size_t kBackendsPerPage = 500;
 /// Rate limit for sent pages, about 1 MB/s.
 constexpr std::uint32_t kPagesPerSecond = 50;
