--- a/src/core/relay/view_difference.h
+++ b/src/core/relay/view_difference.h
@@ -19,7 +19,9 @@
 
 namespace cobaltgauge::core {
 
-/// Items of one part of a difference, about 50 bytes each.
+/// Maximum number of backend changes in one part of a difference, about 50
+/// bytes each.  Removals detected by a listing and changes of one revision are
+/// not split.
 inline constexpr std::size_t kMaxDifferenceItems = kMaxLogItems;
 /// Maximum number of routes sent to followers, about 90 bytes each.  Larger
 /// sets would delay packets on slow links, so each daemon reads them from the
--- a/src/core/weighted_split.h
+++ b/src/core/weighted_split.h
@@ -13,7 +13,7 @@
 
 class WeightedSplit {
  public:
-  /// @param startOffset number of initial steps to skip.
+  /// @param startOffset any number; selects the start position within a cycle.
   WeightedSplit(const std::vector<RouteTarget>& targets, std::uint64_t startOffset);
 
   /// @return the index of the next target; 0 if all weights are zero.
