--- a/src/core/relay/view_backfill.cc
+++ b/src/core/relay/view_backfill.cc
@@ -11,8 +11,8 @@
 namespace cobaltgauge::core {
 namespace {
 
-/// About 20 KB.  Larger pages would block packet processing for too long on a
-/// small machine.
+/// Maximum number of backends in one page, about 20 KB.  Larger pages would
+/// block packet processing for too long on a small machine.
 constexpr std::size_t kBackendsPerPage = 500;
 /// Rate limit for sent pages, about 1 MB/s.
 constexpr std::uint32_t kPagesPerSecond = 50;
@@ -33,6 +33,7 @@
 /// One in this many selections ignores the peers known to have full views,
 /// which may be gone.
 constexpr std::uint64_t kExplorationInterval = 4;
+/// Maximum number of stored peers that are known to have full views.
 constexpr std::size_t kMaxFullViewPeers = 8;
 
 } // namespace
