--- a/src/daemon/backend_probes.h
+++ b/src/daemon/backend_probes.h
@@ -21,9 +21,9 @@
   BackendProbes(asio::io_context& context, core::TokenSteering& steering, PacketPort& packets,
                 PeerLink& peers, const core::StoreReader& reader);
 
-  /// Starts pending probes of backends and failure domains, and sends pending resets.
+  /// Starts all pending probes, sends pending resets, and reports changes of the reachability.
   void executePending(core::Time now);
-  /// Like executePending(), but for failure domains only.
+  /// Like executePending(), but without failure probes of single backends and without resets.
   void executePendingForDomains(core::Time now);
 
  private:
--- a/src/daemon/packet_port.cc
+++ b/src/daemon/packet_port.cc
@@ -10,7 +10,7 @@
 
 /// Packets processed before control returns to the event loop.
 constexpr int kBatchSize = 64;
-/// Bounded, as queued bytes count towards the memory limit of the process.
+/// Size of the receive buffer. Queued bytes count towards the memory limit of the process.
 constexpr int kSocketBufferBytes = 1 << 20;
 constexpr std::size_t kMaxDatagramBytes = 2048;
 
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -93,8 +93,8 @@
 
 void PeerLink::OnStoreReply(core::Time now)
 {
-  this->Exchange.onTick(
-    now); // Requests a view from peers if the first read failed.
+  // Requests a view from peers if the first read failed.
+  this->Exchange.onTick(now);
   this->Relay.OnStoreReply(now);
   this->Send();
 }
@@ -102,7 +102,7 @@
 void PeerLink::SendNotice(const core::UnreachableGroupsNotice& notice)
 {
   if (notice.Groups.empty()) {
-    return; // The common case.
+    return;
   }
   const std::vector<core::Endpoint> neighbours = this->Relay.GetNeighbours();
   if (!neighbours.empty()) {
--- a/src/sim/scenario.h
+++ b/src/sim/scenario.h
@@ -33,7 +33,7 @@
   std::string policy;                 ///< Lua source; empty means equal weights.
 };
 
-/// One-way delays between and within zones, and packet errors.
+/// One-way network delays, and rates of packet loss and duplication.
 struct NetworkSpec {
   core::Duration sameZone = std::chrono::microseconds(200);
   core::Duration crossZone = std::chrono::microseconds(1500);
