--- a/src/daemon/settings_loader.cc
+++ b/src/daemon/settings_loader.cc
@@ -36,7 +36,7 @@
 }
 
 /// @param acceptsBoolean whether the field accepts booleans.
-/// @return the value as text, or nothing for other types than strings and numbers.
+/// @return the value as text; nullopt unless it is a string, a number or an accepted boolean.
 std::optional<std::string> valueText(const toml::node& node, bool acceptsBoolean) {
   if (const auto text = node.value_exact<std::string>()) {
     return *text;
