--- a/src/core/admission/priority_admission.cc
+++ b/src/core/admission/priority_admission.cc
@@ -23,15 +23,15 @@
     std::min(share, recent) > kOverloadRejectedShare;
 }
 
-FleetCapacity ToFleetCapacity(const ZoneCapacity& room)
+FleetCapacity ToFleetCapacity(const ZoneCapacity& capacity)
 {
-  if (room.Utilization < kSpareCapacityUtilization) {
+  if (capacity.Utilization < kSpareCapacityUtilization) {
     return FleetCapacity::kSpareCapacity;
   }
-  if (room.Utilization < kNoIdleSlotUtilization) {
+  if (capacity.Utilization < kNoIdleSlotUtilization) {
     return FleetCapacity::kIdleSlots;
   }
-  return room.RejectedShare < kFleetOverloadRejectedShare
+  return capacity.RejectedShare < kFleetOverloadRejectedShare
     ? FleetCapacity::kFewRejected
     : FleetCapacity::kOverloaded;
 }
--- a/src/core/backend_registry.cc
+++ b/src/core/backend_registry.cc
@@ -46,8 +46,8 @@
   const Registration& known = entry.registration;
   const bool isOfLaterEra = entry.revision.era < revision.era;
   // Numbers may have restarted if start times are not reported or the item was removed.
-  const bool isSameRun = known.startedAtMs != 0 && entry.present;
-  if (registration.startedAtMs != known.startedAtMs || (!isOfLaterEra && !isSameRun)) {
+  const bool isSameIncarnation = known.startedAtMs != 0 && entry.present;
+  if (registration.startedAtMs != known.startedAtMs || (!isOfLaterEra && !isSameIncarnation)) {
     return false;
   }
   if (registration.updateSequence != 0 && known.updateSequence != 0) {
--- a/src/core/backend_registry.h
+++ b/src/core/backend_registry.h
@@ -51,10 +51,10 @@
  public:
   /// @param retention how long a removed backend stays reachable by token.
   /// @param weights must outlive the registry.
-  /// @param reach encodes addresses in tokens and is informed of their ports; must outlive the
+  /// @param resolver encodes addresses in tokens and is informed of their ports; must outlive the
   /// registry. Null: tokens are hashes.
-  BackendRegistry(Duration retention, PlacementWeights& weights, TokenResolver* reach = nullptr)
-      : retention_(retention), weights_(weights), tokens_(reach) {}
+  BackendRegistry(Duration retention, PlacementWeights& weights, TokenResolver* resolver = nullptr)
+      : retention_(retention), weights_(weights), tokens_(resolver) {}
 
   /// Sets the region of each zone.
   void setRegions(const std::map<std::string, std::string>& regionsOfZones);
--- a/src/core/balancer.cc
+++ b/src/core/balancer.cc
@@ -215,8 +215,8 @@
   const bool isolatedJoiner =
       membership_.selfState() == MemberState::kJoining && hasSeeds_ && lastMessageAt_ == Time{};
   const Duration wait = isolatedJoiner ? kFenceIsolatedTimeout : kFencePeerTimeout;
-  const bool knewPeers = seedsReceivedAt_ != Time{} && now - seedsReceivedAt_ >= wait;
-  fence_.openAfterTimeout(now, heardFromEstablishedMember_ || !knewPeers);
+  const bool hadSeedsForTimeout = seedsReceivedAt_ != Time{} && now - seedsReceivedAt_ >= wait;
+  fence_.openAfterTimeout(now, heardFromEstablishedMember_ || !hadSeedsForTimeout);
   if (now >= nextFencePing_) {
     nextFencePing_ = now + kFencePingInterval;
     membership_.probeRandomPeers(kFenceFanout);
--- a/src/core/load/opening_tracker.cc
+++ b/src/core/load/opening_tracker.cc
@@ -206,11 +206,11 @@
       continue;
     }
     // Keep tracking: a late response still updates the typical response time.
-    const bool wasSentAgain =
+    const bool wasRetransmitted =
       entry.LastPacketAt - entry.RequestAt >= kInitialRetransmissionTimeout;
     this->Report(entry,
-                 wasSentAgain ? OpeningOutcome::kUnanswered
-                              : OpeningOutcome::kReset,
+                 wasRetransmitted ? OpeningOutcome::kUnanswered
+                                  : OpeningOutcome::kReset,
                  now);
   }
 }
--- a/src/core/membership.cc
+++ b/src/core/membership.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /// One in this many probes targets another zone.
-constexpr std::uint64_t kRemoteProbePeriod = 4;
+constexpr std::uint64_t kProbesPerRemoteProbe = 4;
 /// Interval between attempts to contact dead members and unknown seeds.
 constexpr Duration kReconnectInterval = 1000ms;
 /// The same while a whole zone is unreachable, so that the end of a network partition is detected
@@ -248,7 +248,7 @@
 }
 
 std::optional<MemberId> Membership::nextTarget() {
-  const bool preferRemote = ++probeCount_ % kRemoteProbePeriod == 0;
+  const bool preferRemote = ++probeCount_ % kProbesPerRemoteProbe == 0;
   for (const bool remote : {preferRemote, !preferRemote}) {
     std::vector<MemberId>& round = remote ? remoteRound_ : zoneRound_;
     for (int refill = 0; refill < 2; ++refill) {
--- a/src/core/placement/local_capacity_estimator.cc
+++ b/src/core/placement/local_capacity_estimator.cc
@@ -100,7 +100,7 @@
     const double utilization =
       std::min(std::sqrt(1 - 1 / slowdown), kMaxSlotUtilization);
     capacity.Utilization = GetRequestsPerSlot(utilization);
-  } else if (capacity.RejectedShare >= kRejectedShareWhenFull) {
+  } else if (capacity.RejectedShare >= kZoneOverloadRejectedShare) {
     // Response times do not show the load when few openings are served.
     capacity.Utilization = GetRequestsPerSlot(kMaxSlotUtilization);
   }
--- a/src/core/placement/placement_limits.h
+++ b/src/core/placement/placement_limits.h
@@ -58,7 +58,7 @@
 inline constexpr double kSlowResponseRatio = 1.5;
 /// Share of rejected openings from which a zone counts as overloaded,
 /// whatever its response times.
-inline constexpr double kRejectedShareWhenFull = 0.25;
+inline constexpr double kZoneOverloadRejectedShare = 0.25;
 /// Assumed utilization of a zone without recent samples.
 inline constexpr double kUnsampledUtilization = 0.5;
 
--- a/src/core/placement/zone_spillover.h
+++ b/src/core/placement/zone_spillover.h
@@ -22,7 +22,7 @@
 {
   ServiceId Service{ 0 };
   ZoneId Zone = kNoZone;
-  bool Began = false;
+  bool Started = false;
   double LocalShare = 1;   ///< Share of openings that stays in the zone.
   double Demand = 0;       ///< Offered load per slot.
   double LowestDemand = 0; ///< Offered load per slot of the least loaded zone.
--- a/src/core/relay/relay_timing.h
+++ b/src/core/relay/relay_timing.h
@@ -21,7 +21,7 @@
   Duration SeedReadViewAge = kSeedReadViewAge;
   Duration FollowerReadViewAge = kFollowerReadViewAge;
   /// Maximum delay before retrying a read that other daemons make as well.
-  Duration CoveredRetryInterval = kReadBackoffWithSeed;
+  Duration RetryIntervalWithSeed = kReadBackoffWithSeed;
   /// How long a view waits for a peer's changes before listing again after the
   /// store discarded its history.  Half of what the bound leaves beyond
   /// kChangePropagationDeadline.
--- a/src/core/relay/view_backfill.cc
+++ b/src/core/relay/view_backfill.cc
@@ -32,7 +32,7 @@
 constexpr Duration kStoreDelayPerDaemon = 100ms;
 /// One in this many selections ignores the peers known to have full views,
 /// which may be gone.
-constexpr std::uint64_t kExplorationInterval = 4;
+constexpr std::uint64_t kSelectionsPerExploration = 4;
 /// Maximum number of stored peers that are known to have full views.
 constexpr std::size_t kMaxFullViewPeers = 8;
 
@@ -48,7 +48,7 @@
   , Sink(sink)
   , Backends(backends)
   , RandomSource(random)
-  , Allowance(kPagesPerSecond)
+  , PageRateLimiter(kPagesPerSecond)
 {
 }
 
@@ -88,7 +88,7 @@
 {
   // Peers known to have full views may be gone, so others are queried too.
   if (!this->FullViewPeers.empty() &&
-      this->RandomSource.below(kExplorationInterval) != 0) {
+      this->RandomSource.below(kSelectionsPerExploration) != 0) {
     return this->SelectFullViewPeer();
   }
   const std::vector<Endpoint>* const sources[] = { &peers.Near,
@@ -163,12 +163,12 @@
   // peer may be gone.
   const bool isLeftToCloserPeer = !isRecipient &&
     this->KnowsCloserPeer(peer) &&
-    this->RandomSource.below(kExplorationInterval) != 0;
+    this->RandomSource.below(kSelectionsPerExploration) != 0;
   const bool hasSlot = isRecipient ||
     (this->Recipients.size() < kMaxConcurrentRecipients &&
      !isLeftToCloserPeer);
   return hasSlot &&
-    this->Allowance.admit(AdmissionTokenBucket::kMaxPriority, now);
+    this->PageRateLimiter.admit(AdmissionTokenBucket::kMaxPriority, now);
 }
 
 void ViewBackfill::ServePage(const ViewPageRequest& request,
--- a/src/core/relay/view_backfill.h
+++ b/src/core/relay/view_backfill.h
@@ -104,7 +104,7 @@
   StoreSink& Sink;
   const BackendRegistry& Backends;
   Random& RandomSource;
-  AdmissionTokenBucket Allowance;
+  AdmissionTokenBucket PageRateLimiter;
   /// Peers that are being sent pages, with the time of the last page.
   std::map<Endpoint, Time> Recipients;
   /// Daemons that have full views, newest last.
--- a/src/core/relay/view_relay.cc
+++ b/src/core/relay/view_relay.cc
@@ -47,7 +47,7 @@
   this->Reader.setReadTimings(
     std::chrono::duration_cast<std::chrono::milliseconds>(timing.WatchWait),
     timing.CurrentFor,
-    timing.CoveredRetryInterval);
+    timing.RetryIntervalWithSeed);
 }
 
 void ViewRelay::SetSeeds(const std::vector<Endpoint>& seeds)
@@ -72,22 +72,23 @@
   this->Reader.setUrgent(this->ReadRequested);
 }
 
-void ViewRelay::UpdateReaderBackOff(std::size_t peers, Time now)
+void ViewRelay::UpdateReaderBackoff(std::size_t peers, Time now)
 {
   this->Seeds.OnTick(now);
-  const bool isCovered = this->Seeds.HasReachableSeed(now);
-  this->Reader.setHasOtherReaders(isCovered);
+  const bool hasReachableSeed = this->Seeds.HasReachableSeed(now);
+  this->Reader.setHasOtherReaders(hasReachableSeed);
   this->Reader.setOtherReadersFailing(
-    isCovered && this->Seeds.IsStoreFailing(now)
+    hasReachableSeed && this->Seeds.IsStoreFailing(now)
       ? std::optional(this->GetRetryInterval(peers))
       : std::nullopt);
   this->Reader.setMaxRelistDelay(this->GetRelistDelay(now));
-  const std::size_t excessPeers =
-    isCovered && peers > kSmallFleetPeers ? peers - kSmallFleetPeers : 0;
-  const Duration startBackOff = std::min<Duration>(
+  const std::size_t excessPeers = hasReachableSeed && peers > kSmallFleetPeers
+    ? peers - kSmallFleetPeers
+    : 0;
+  const Duration startupBackoff = std::min<Duration>(
     kStartupReadBackoff + kStartupReadBackoffPerPeer * excessPeers,
     kMaxReadBackoff);
-  this->Reader.setStartupBackOff(startBackOff);
+  this->Reader.setStartupBackoff(startupBackoff);
 }
 
 Duration ViewRelay::GetRelistDelay(Time now) const
@@ -108,7 +109,7 @@
 Duration ViewRelay::GetRetryInterval(std::size_t peers) const
 {
   return std::clamp<Duration>(kReadJitterPerPeer * peers,
-                              this->Timing.CoveredRetryInterval,
+                              this->Timing.RetryIntervalWithSeed,
                               kMaxReadJitter);
 }
 
@@ -120,7 +121,7 @@
     return;
   }
   const Duration span = std::min<Duration>(kFirstReadJitterPerPeer * peers,
-                                           this->Timing.CoveredRetryInterval);
+                                           this->Timing.RetryIntervalWithSeed);
   const auto wait =
     this->RandomSource.below(static_cast<std::uint64_t>(span.count()) + 1);
   this->Reader.deferRead(now + Duration(static_cast<Duration::rep>(wait)));
@@ -137,7 +138,7 @@
   if (this->Upstream && age >= this->Timing.PeerQueryViewAge) {
     this->StopFollowing();
   }
-  this->UpdateReaderBackOff(peers.size(), now);
+  this->UpdateReaderBackoff(peers.size(), now);
   if (!this->Reading && age >= this->GetReadThreshold()) {
     this->StartReading(peers.size(), now);
   }
--- a/src/core/relay/view_relay.h
+++ b/src/core/relay/view_relay.h
@@ -141,7 +141,7 @@
     return this->Fleet.GetEstimate(now);
   }
   /// Get the followers and the upstream daemon.
-  std::vector<Endpoint> GetNeighbours() const;
+  std::vector<Endpoint> GetNeighbors() const;
   std::size_t CountFollowers() const { return this->Followers.Count(); }
   const ViewRelayCounters& GetCounters() const { return this->Counters; }
 
@@ -154,7 +154,7 @@
   /// the view.
   std::optional<ChangeRange> GetChangesSince(Revision have) const;
   /// Adjust the reader's back-off to the state of the seeds and the store.
-  void UpdateReaderBackOff(std::size_t peers, Time now);
+  void UpdateReaderBackoff(std::size_t peers, Time now);
   /// Get how long a view without history may wait for a peer's changes.
   Duration GetRelistDelay(Time now) const;
   /// Get the retry interval for use while the seeds fail to read the store.
--- a/src/core/relay/view_relay_followers.cc
+++ b/src/core/relay/view_relay_followers.cc
@@ -68,13 +68,13 @@
     : range;
 }
 
-std::vector<Endpoint> ViewRelay::GetNeighbours() const
+std::vector<Endpoint> ViewRelay::GetNeighbors() const
 {
-  std::vector<Endpoint> neighbours = this->Followers.List();
+  std::vector<Endpoint> neighbors = this->Followers.List();
   if (this->Upstream) {
-    neighbours.push_back(*this->Upstream);
+    neighbors.push_back(*this->Upstream);
   }
-  return neighbours;
+  return neighbors;
 }
 
 void ViewRelay::PushIfChanged(Time now)
--- a/src/core/store_reader.cc
+++ b/src/core/store_reader.cc
@@ -243,7 +243,7 @@
   const bool watchEnded =
       !listing_ && failuresInRow_ == 1 && outcome == ReadOutcome::kConnectionLost;
   // Pending watches are closed now and then, so the first retry is immediate.
-  nextReadAt_ = watchEnded ? now : now + backOffAfter(outcome);
+  nextReadAt_ = watchEnded ? now : now + backoffAfter(outcome);
   if (synchronized_ && (otherReadersRetryDelay_ || failuresInRow_ > kFailuresBeforeSeedBackoff)) {
     deferredReadAt_ = now + randomDelay(otherReadersRetryDelay_.value_or(maxSharedRetryDelay_));
   }
@@ -356,9 +356,9 @@
   return kReadTimeout * (1U << doublings);
 }
 
-Duration StoreReader::backOffAfter(ReadOutcome outcome) {
+Duration StoreReader::backoffAfter(ReadOutcome outcome) {
   const bool allowsLongBackoff = synchronized_ || outcome == ReadOutcome::kThrottled;
-  const Duration maxDelay = allowsLongBackoff ? kMaxReadBackoff : startupBackOff_;
+  const Duration maxDelay = allowsLongBackoff ? kMaxReadBackoff : startupBackoff_;
   const std::uint32_t doublings = std::min<std::uint32_t>(failuresInRow_, kMaxReadTimeoutDoublings);
   return randomDelay(std::min<Duration>(kReadBackoff * (1U << doublings), maxDelay));
 }
--- a/src/core/store_reader.h
+++ b/src/core/store_reader.h
@@ -125,7 +125,7 @@
   void deferRead(Time until) { deferredReadAt_ = std::max(deferredReadAt_, until); }
 
   /// Sets the maximum retry delay of a daemon without a view.
-  void setStartupBackOff(Duration maxDelay) { startupBackOff_ = maxDelay; }
+  void setStartupBackoff(Duration maxDelay) { startupBackoff_ = maxDelay; }
 
   /// Records that the store answers other daemons: a delayed retry is made now.
   void expediteRead(Time now) { nextReadAt_ = std::min(nextReadAt_, now); }
@@ -231,7 +231,7 @@
   /// @return the pause before the next watch.
   std::chrono::milliseconds pauseAfter(std::size_t changes, Time now);
   Duration timeoutNow() const;
-  Duration backOffAfter(ReadOutcome outcome);
+  Duration backoffAfter(ReadOutcome outcome);
   /// @return a random duration between half of `maxDelay` and all of it.
   Duration randomDelay(Duration maxDelay);
 
@@ -243,7 +243,7 @@
   bool active_ = true;
   bool hasOtherReaders_ = false;
   std::optional<Duration> otherReadersRetryDelay_;
-  Duration startupBackOff_ = kStartupReadBackoff;
+  Duration startupBackoff_ = kStartupReadBackoff;
   bool urgent_ = false;
   PendingRead pendingRead_ = PendingRead::kNone;
   bool listing_ = true;
--- a/src/daemon/backend_probes.cc
+++ b/src/daemon/backend_probes.cc
@@ -17,12 +17,12 @@
       reachabilityProber_(context, core::kReadinessProbeTimeout,
                           [this](const core::BackendAddress& backend, core::ProbeResult result) {
                             steering_.onReachabilityProbe(backend.id, result, bootTime());
-                            executePendingForDomains(bootTime());
+                            executeReachabilityAndGroupProbes(bootTime());
                           }),
       groupProber_(context, core::kGroupProbeTimeout,
                    [this](const core::BackendAddress& backend, core::ProbeResult result) {
                      steering_.onGroupProbe(backend.id, result, bootTime());
-                     executePendingForDomains(bootTime());
+                     executeReachabilityAndGroupProbes(bootTime());
                    }) {}
 
 void BackendProbes::executePending(core::Time now) {
@@ -33,10 +33,10 @@
     packets_.refuse(reset.flow, reset.acknowledgement);
     logReset(reset, reader_.revision());
   }
-  executePendingForDomains(now);
+  executeReachabilityAndGroupProbes(now);
 }
 
-void BackendProbes::executePendingForDomains(core::Time now) {
+void BackendProbes::executeReachabilityAndGroupProbes(core::Time now) {
   for (const core::BackendAddress& backend : steering_.takeReachabilityProbes(now)) {
     reachabilityProber_.probe(backend);
   }
--- a/src/daemon/backend_probes.h
+++ b/src/daemon/backend_probes.h
@@ -24,7 +24,7 @@
   /// Starts all pending probes, sends pending resets, and reports changes of the reachability.
   void executePending(core::Time now);
   /// Like executePending(), but without failure probes of single backends and without resets.
-  void executePendingForDomains(core::Time now);
+  void executeReachabilityAndGroupProbes(core::Time now);
 
  private:
   void onProbe(const core::BackendAddress& backend, core::ProbeResult result);
--- a/src/daemon/data_plane.cc
+++ b/src/daemon/data_plane.cc
@@ -76,7 +76,7 @@
     return;
   }
   if (packet->vni != settings_.vni) {
-    ++counters_.wrongNetwork;
+    ++counters_.vniMismatches;
     return;
   }
   const std::optional<core::PacketSummary> summary =
--- a/src/daemon/data_plane.h
+++ b/src/daemon/data_plane.h
@@ -24,7 +24,7 @@
   std::uint64_t packetsToPeers = 0;
   std::uint64_t refusalsSent = 0;
   std::uint64_t sendErrors = 0;
-  std::uint64_t wrongNetwork = 0;  ///< Packets whose VNI is not the configured one.
+  std::uint64_t vniMismatches = 0;  ///< Packets whose VNI is not the configured one.
   std::map<net::GeneveError, std::uint64_t> geneveErrors;
   std::map<net::InnerError, std::uint64_t> innerErrors;
 };
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -62,7 +62,7 @@
        [](const MetricSources& s) { return byError(s.data.counters().geneveErrors); }},
       {"cobaltgauge_wrong_network_total",
        "Geneve packets with an unexpected virtual network identifier", nullptr, MetricType::Counter,
-       [](const MetricSources& s) { return single(s.data.counters().wrongNetwork); }},
+       [](const MetricSources& s) { return single(s.data.counters().vniMismatches); }},
       {"cobaltgauge_inner_errors_total", "Inner packets that cannot be routed", "reason",
        MetricType::Counter,
        [](const MetricSources& s) { return byError(s.data.counters().innerErrors); }},
--- a/src/daemon/peers/peer_link.cc
+++ b/src/daemon/peers/peer_link.cc
@@ -104,9 +104,9 @@
   if (notice.Groups.empty()) {
     return;
   }
-  const std::vector<core::Endpoint> neighbours = this->Relay.GetNeighbours();
-  if (!neighbours.empty()) {
-    this->Peers.send(neighbours, notice);
+  const std::vector<core::Endpoint> neighbors = this->Relay.GetNeighbors();
+  if (!neighbors.empty()) {
+    this->Peers.send(neighbors, notice);
   }
 }
 
--- a/src/daemon/peers/peer_link.h
+++ b/src/daemon/peers/peer_link.h
@@ -61,8 +61,8 @@
   void OnTick(core::Time now);
   /// Must be called after the reader has processed a reply of the store.
   void OnStoreReply(core::Time now);
-  /// Notifies the neighbours in the relay tree that groups are unreachable. A
-  /// neighbour that confirms this notifies its own neighbours.
+  /// Notifies the neighbors in the relay tree that groups are unreachable. A
+  /// neighbor that confirms this notifies its own neighbors.
   void SendNotice(const core::UnreachableGroupsNotice& notice);
   /// Must be called after the process was suspended.
   void OnResume() { this->Relay.OnResume(); }
--- a/src/daemon/settings_fields.cc
+++ b/src/daemon/settings_fields.cc
@@ -18,8 +18,8 @@
 constexpr std::uint64_t kMaxVni = (1U << 24U) - 1;
 constexpr std::uint64_t kMaxFlowEntries = 1U << 26U;
 /// New flows per second.
-constexpr std::uint64_t kMaxRate = 10'000'000;
-/// A larger share would no longer favour higher priorities.
+constexpr std::uint64_t kMaxNewFlowsPerSecond = 10'000'000;
+/// A larger share would no longer favor higher priorities.
 constexpr double kMaxReservedShare = 0.5;
 
 SettingField field(const char* section, const char* key, const char* documentation,
@@ -213,7 +213,7 @@
                                &Settings::flowIdleTimeout, 1, 86'400));
   fields.push_back(numberField("data", "new_flows_per_second",
                                "Maximum rate of new flows admitted over all services; 0: no limit",
-                               &Settings::newFlowsPerSecond, 0, kMaxRate));
+                               &Settings::newFlowsPerSecond, 0, kMaxNewFlowsPerSecond));
   fields.push_back(endpointField("data", "fabric_return",
                                  "Endpoint to which responses to clients are sent (Geneve over "
                                  "UDP); required if steering.mode is recorded",
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -19,7 +19,7 @@
 namespace {
 
 /// Interval of periodic work.
-constexpr auto kTick = std::chrono::milliseconds(200);
+constexpr auto kPeriodicWorkInterval = std::chrono::milliseconds(200);
 constexpr core::Duration kSettingsCheckInterval = std::chrono::seconds(2);
 constexpr int kNotReady = 503;
 constexpr int kNotFound = 404;
@@ -214,7 +214,7 @@
 }
 
 void TokenDaemon::scheduleTick() {
-  timer_.expires_after(kTick);
+  timer_.expires_after(kPeriodicWorkInterval);
   timer_.async_wait([this](const asio::error_code& error) {
     if (!error) {
       onTick();
@@ -319,7 +319,7 @@
   if (changed || reader_.isSynchronized() != steering_.hasCompleteView()) {
     onViewChanged(now);
   }
-  probes_.executePendingForDomains(now);
+  probes_.executeReachabilityAndGroupProbes(now);
   store_->start();
 }
 
--- a/src/daemon/token_log.cc
+++ b/src/daemon/token_log.cc
@@ -228,7 +228,7 @@
 
 void logSpillover(const core::SpilloverChange& change, const core::BackendRegistry& backends,
                   core::Revision viewRevision) {
-  logEvent(LogLevel::kWarning, change.Began ? "spill_began" : "spill_ended",
+  logEvent(LogLevel::kWarning, change.Started ? "spill_began" : "spill_ended",
            {{"service", backends.nameOf(change.Service)},
             {"zone", backends.nameOf(change.Zone)},
             {"local_share", std::to_string(change.LocalShare)},
--- a/src/sim/fault_generator.cc
+++ b/src/sim/fault_generator.cc
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr core::Time kFirstFault = seconds(10);
+constexpr core::Time kFirstFaultTime = seconds(10);
 constexpr core::Duration kFaultFreeEnd = seconds(5);
 
 class Generator {
@@ -25,7 +25,7 @@
   }
 
   std::vector<FaultSpec> run() {
-    core::Time at = kFirstFault;
+    core::Time at = kFirstFaultTime;
     while (at < scenario_.duration - kFaultFreeEnd) {
       addRandomFault(at);
       at += random_.between(milliseconds(500), milliseconds(5000));
--- a/src/sim/simulated_platform.cc
+++ b/src/sim/simulated_platform.cc
@@ -7,7 +7,7 @@
 namespace cobaltgauge::sim {
 namespace {
 
-constexpr const char* kEqualWeights =
+constexpr const char* kEqualWeightsPolicy =
     "function place(class, backend) if backend.state == 'active' then return 100 end return 0 end";
 
 std::string serviceText(const ListedService& service) {
@@ -21,13 +21,14 @@
                         {"state", backend.draining ? "leaving" : "active"}});
   }
   const bool udp = service.spec.protocol == core::Protocol::kUdp;
-  const nlohmann::json object{{"name", service.spec.name},
-                              {"address", net::formatAddress(service.virtualEndpoint.address)},
-                              {"port", service.virtualEndpoint.port},
-                              {"protocol", udp ? "udp" : "tcp"},
-                              {"refusal", udp ? "coap" : "reset"},
-                              {"policy", service.policy.empty() ? kEqualWeights : service.policy},
-                              {"backends", backends}};
+  const nlohmann::json object{
+      {"name", service.spec.name},
+      {"address", net::formatAddress(service.virtualEndpoint.address)},
+      {"port", service.virtualEndpoint.port},
+      {"protocol", udp ? "udp" : "tcp"},
+      {"refusal", udp ? "coap" : "reset"},
+      {"policy", service.policy.empty() ? kEqualWeightsPolicy : service.policy},
+      {"backends", backends}};
   return object.dump();
 }
 
--- a/src/standin/throughput.cc
+++ b/src/standin/throughput.cc
@@ -18,9 +18,9 @@
 
 constexpr int kSocketBufferBytes = 8 << 20;
 /// Maximum number of datagrams received in a row.
-constexpr int kRelayBatch = 64;
+constexpr int kMaxDatagramsPerBatch = 64;
 /// Size of the receive buffers in bytes.
-constexpr std::size_t kMaxDatagram = 65536;
+constexpr std::size_t kMaxDatagramBytes = 65536;
 /// Packets sent and neither received nor counted as lost.
 constexpr std::uint64_t kMaxInFlight = 256;
 /// Packets in flight count as lost after this time without an arrival.
@@ -99,7 +99,7 @@
     bool any = false;
     asio::ip::udp::endpoint from;
     asio::error_code error;
-    for (int i = 0; i < kRelayBatch; ++i) {
+    for (int i = 0; i < kMaxDatagramsPerBatch; ++i) {
       receiver_.receive_from(asio::buffer(buffer_), from, 0, error);
       if (error) {
         break;
@@ -113,7 +113,7 @@
   asio::ip::udp::socket sender_;
   asio::ip::udp::socket receiver_;
   asio::ip::udp::endpoint target_;
-  std::array<std::uint8_t, kMaxDatagram> buffer_{};
+  std::array<std::uint8_t, kMaxDatagramBytes> buffer_{};
   std::uint64_t sent_ = 0;
   std::uint64_t received_ = 0;
   std::uint64_t lost_ = 0;
@@ -134,10 +134,10 @@
   asio::ip::udp::socket socket(context);
   openSocket(socket, options->endpoint("listen"));
   const asio::ip::udp::endpoint target = net::toUdp(options->endpoint("to"));
-  std::array<std::uint8_t, kMaxDatagram> buffer{};
+  std::array<std::uint8_t, kMaxDatagramBytes> buffer{};
   std::function<void()> wait = [&] {
     socket.async_wait(asio::socket_base::wait_read, [&](const asio::error_code& error) {
-      for (int i = 0; !error && i < kRelayBatch; ++i) {
+      for (int i = 0; !error && i < kMaxDatagramsPerBatch; ++i) {
         asio::ip::udp::endpoint from;
         asio::error_code failure;
         const std::size_t size = socket.receive_from(asio::buffer(buffer), from, 0, failure);
--- a/tests/core/admission/refused_openings_test.cc
+++ b/tests/core/admission/refused_openings_test.cc
@@ -50,10 +50,10 @@
   }
 
   /// Opens flows until one is refused.  \return its port, or zero.
-  std::uint16_t FindRefused(std::uint32_t copy)
+  std::uint16_t FindRefused(std::uint32_t retransmission)
   {
     for (std::uint16_t port = 1000; port < 1100; ++port) {
-      if (refuseReasonOf(this->open(port, copy)) ==
+      if (refuseReasonOf(this->open(port, retransmission)) ==
           RefuseReason::kOverloaded) {
         return port;
       }
--- a/tests/core/load/fleet_load_test.cc
+++ b/tests/core/load/fleet_load_test.cc
@@ -55,9 +55,9 @@
 
   std::optional<double> GetUtilization() const
   {
-    const auto room =
+    const auto capacity =
       this->Load.GetZoneCapacity(KeyOf(1).first, KeyOf(1).second, this->Now);
-    return room ? std::optional(room->Utilization) : std::nullopt;
+    return capacity ? std::optional(capacity->Utilization) : std::nullopt;
   }
 };
 
@@ -136,9 +136,9 @@
 BOOST_FIXTURE_TEST_CASE(zone_without_slots_has_no_idle_slot, RootFixture)
 {
   this->Tick();
-  const auto room =
+  const auto capacity =
     this->Load.GetZoneCapacity(KeyOf(1).first, core::ZoneId{ 2 }, this->Now);
-  BOOST_TEST(room.value().Utilization == 1.0);
+  BOOST_TEST(capacity.value().Utilization == 1.0);
 }
 
 BOOST_FIXTURE_TEST_CASE(rejected_share_is_relative_to_openings, RootFixture)
@@ -153,9 +153,9 @@
   this->Meter.OnOpeningEnded(result, this->Now);
   this->Meter.OnOpeningEnded(result, this->Now);
   this->Tick();
-  const auto room =
+  const auto capacity =
     this->Load.GetZoneCapacity(KeyOf(1).first, KeyOf(1).second, this->Now);
-  BOOST_TEST(room.value().RejectedShare == 0.25);
+  BOOST_TEST(capacity.value().RejectedShare == 0.25);
 }
 
 BOOST_FIXTURE_TEST_CASE(disabled_reports_provide_no_load, RootFixture)
--- a/tests/core/placement/zone_spillover_test.cc
+++ b/tests/core/placement/zone_spillover_test.cc
@@ -155,14 +155,14 @@
   queues.Run(4s);
   const auto started = queues.Spillovers[0].TakeChanges();
   BOOST_REQUIRE(started.size() == 1);
-  BOOST_TEST(started[0].Began);
+  BOOST_TEST(started[0].Started);
   BOOST_TEST((started[0].Zone == ZoneOf(0)));
   BOOST_TEST(started[0].Demand > started[0].LowestDemand);
   queues.Demand[0] = 0.2;
   queues.Run(4s);
   const auto ended = queues.Spillovers[0].TakeChanges();
   BOOST_REQUIRE(ended.size() == 1);
-  BOOST_TEST(!ended[0].Began);
+  BOOST_TEST(!ended[0].Started);
 }
 
 // Guards against idle slots in other zones while openings are refused.
--- a/tests/core/relay/view_relay_test.cc
+++ b/tests/core/relay/view_relay_test.cc
@@ -207,14 +207,14 @@
   const core::RelayTiming timing = core::RelayTiming::ForBound(30s);
   BOOST_TEST((timing.WatchWait == core::kWatchMaxWait));
   BOOST_TEST((timing.FollowerReadViewAge == core::kFollowerReadViewAge));
-  BOOST_TEST((timing.CoveredRetryInterval == core::kReadBackoffWithSeed));
+  BOOST_TEST((timing.RetryIntervalWithSeed == core::kReadBackoffWithSeed));
 }
 
-BOOST_AUTO_TEST_CASE(covered_retry_interval_scales_with_the_bound)
+BOOST_AUTO_TEST_CASE(retry_interval_with_seed_scales_with_the_bound)
 {
   const core::RelayTiming timing =
     core::RelayTiming::ForBound(core::kChangePropagationDeadline / 2);
-  BOOST_TEST((timing.CoveredRetryInterval == core::kReadBackoffWithSeed / 2));
+  BOOST_TEST((timing.RetryIntervalWithSeed == core::kReadBackoffWithSeed / 2));
 }
 
 BOOST_AUTO_TEST_CASE(update_of_unknown_age_is_ignored)
--- a/tests/daemon/view_change_logger_test.cc
+++ b/tests/daemon/view_change_logger_test.cc
@@ -23,7 +23,7 @@
     return logger;
   }
 
-  static core::ViewChange vanished(std::uint64_t id) {
+  static core::ViewChange makeRemoval(std::uint64_t id) {
     core::ViewChange change;
     change.key = "servers/" + std::to_string(id);
     change.revision = 1000 + id;
@@ -37,7 +37,7 @@
 BOOST_AUTO_TEST_CASE(few_changes_are_logged_individually_without_summary) {
   const auto logger = make(1, 985);
   for (std::uint64_t id = 0; id < 6; ++id) {
-    logger->add(vanished(id), now);
+    logger->add(makeRemoval(id), now);
   }
   logger->onTick(now + 5s);
   BOOST_TEST(linesByKey.size() == 6U);
@@ -48,7 +48,7 @@
 BOOST_AUTO_TEST_CASE(many_changes_are_sampled_and_summarized) {
   const auto logger = make(1, 985);
   for (std::uint64_t id = 0; id < 10'000; ++id) {
-    logger->add(vanished(id), now);
+    logger->add(makeRemoval(id), now);
   }
   logger->onTick(now + 1s);
   BOOST_TEST(linesByKey.size() < 100U);
@@ -67,7 +67,7 @@
   for (std::uint64_t daemon = 0; daemon < kFleetSize; ++daemon) {
     const auto logger = make(daemon * 7919, kFleetSize);
     for (std::uint64_t id = 0; id < kChanges; ++id) {
-      logger->add(vanished(id), now);
+      logger->add(makeRemoval(id), now);
     }
   }
   // With three loggers per change on average, about one change in 20 has none.
@@ -82,7 +82,7 @@
 BOOST_AUTO_TEST_CASE(single_daemon_logs_every_change) {
   const auto logger = make(1, 1);
   for (std::uint64_t id = 0; id < 500; ++id) {
-    logger->add(vanished(id), now);
+    logger->add(makeRemoval(id), now);
   }
   BOOST_TEST(linesByKey.size() == 500U);
 }
