--- a/scripts/account.py
+++ b/scripts/account.py
@@ -22,20 +22,20 @@
 import fleet_log
 
 # When a caller sends again, in seconds after the first time.
-DATA_REPEATS = (0.0, 0.2, 0.6, 1.4, 3.0, 4.6, 6.2, 7.8)
-OPENING_REPEATS = (0.0, 0.2, 0.6)
-OPENING_ATTEMPT = 1.4
-STEPS_A_SECOND = 200  # Of the integration over sending times.
+DATA_SEND_TIMES_SECONDS = (0.0, 0.2, 0.6, 1.4, 3.0, 4.6, 6.2, 7.8)
+OPENING_SEND_TIMES_SECONDS = (0.0, 0.2, 0.6)
+OPENING_ATTEMPT_SECONDS = 1.4
+STEPS_PER_SECOND = 200  # Of the integration over sending times.
 REASON = re.compile(r" reason=([a-z_]+)")
-LOG_GAP = 0.3  # Lines wait in a daemon for at most this long; a kill takes them with it.
-LOSS = 0.002  # Share of a window's credit that is worth a row.
+LOG_BUFFER_SECONDS = 0.3  # Lines wait in a daemon for at most this long; a kill takes them with it.
+MIN_REPORTED_LOSS = 0.002  # Share of a window's credit that is worth a row.
 
 
 def read_log(path):
     """Returns the times of all daemons' lines and starts, and the drops by second and reason."""
     lines, starts = collections.defaultdict(list), collections.defaultdict(list)
     drops = collections.defaultdict(collections.Counter)
-    for at, node, event, fields in fleet_log.records(path):
+    for at, node, event, fields in fleet_log.read_records(path):
         lines[node].append(at)
         if event == "started":
             starts[node].append(at)
@@ -45,38 +45,38 @@
     return lines, starts, drops
 
 
-def lives_of(lines, starts):
+def process_lifetimes(lines, starts):
     """Returns the lives of one daemon: from a start to its last line before the next."""
     ends = starts[1:] + [float("inf")]
-    lives = []
+    lifetimes = []
     for begin, limit in zip(starts, ends):
         within = [at for at in lines if begin <= at < limit]
         # Two starts may show the same time: the first life then left no line of its own.
         end = (within or [begin])[-1]
-        lives.append((begin, end if limit < float("inf") else float("inf")))
-    return lives
+        lifetimes.append((begin, end if limit < float("inf") else float("inf")))
+    return lifetimes
 
 
-def dark_spans(lines, starts):
+def find_outages(lines, starts):
     """Returns the spans in which no daemon ran, after the traffic began."""
-    lives = sorted(life for node in starts for life in lives_of(lines[node], starts[node]))
-    spans, lit_until = [], None
-    for begin, end in lives:
-        if lit_until is not None and begin > lit_until + 0.05 and lit_until > 0:
-            spans.append((lit_until, begin))
-        lit_until = end if lit_until is None else max(lit_until, end)
-    return spans
+    lifetimes = sorted(lifetime for node in starts for lifetime in process_lifetimes(lines[node], starts[node]))
+    outages, covered_until = [], None
+    for begin, end in lifetimes:
+        if covered_until is not None and begin > covered_until + 0.05 and covered_until > 0:
+            outages.append((covered_until, begin))
+        covered_until = end if covered_until is None else max(covered_until, end)
+    return outages
 
 
-def attempts(kind):
+def send_times(kind):
     """Returns the times, after the first sending, at which something of a request is sent."""
     if kind.get("habit") != "fresh":
-        return DATA_REPEATS
+        return DATA_SEND_TIMES_SECONDS
     tries = 1 + kind.get("retries", 0)
-    return tuple(n * OPENING_ATTEMPT + at for n in range(tries) for at in OPENING_REPEATS)
+    return tuple(n * OPENING_ATTEMPT_SECONDS + at for n in range(tries) for at in OPENING_SEND_TIMES_SECONDS)
 
 
-def credit(kind, wait):
+def earned_share(kind, wait):
     """Returns the share of a request's worth that is earned if it is first taken after `wait` s."""
     answered = wait + kind["work_ms"]["mean"] / 1000
     if answered <= kind["aim_ms"] / 1000:
@@ -86,24 +86,24 @@
     return 0.0
 
 
-def lost_in_dark(kind, span, window):
+def unavoidable_loss(kind, outage, window):
     """Returns the seconds' worth of a kind that nobody can earn, of a window."""
-    begin, end = span
+    begin, end = outage
     low, high = max(begin, window[0]), min(end, window[1])
-    steps = max(0, int((high - low) * STEPS_A_SECOND))
+    steps = max(0, int((high - low) * STEPS_PER_SECOND))
     lost = 0.0
     for step in range(steps):
-        sent = low + (step + 0.5) / STEPS_A_SECOND
-        taken = next((at for at in attempts(kind) if sent + at >= end), None)
-        lost += 1.0 - (credit(kind, taken) if taken is not None else 0.0)
-    return lost / STEPS_A_SECOND
+        sent = low + (step + 0.5) / STEPS_PER_SECOND
+        taken = next((at for at in send_times(kind) if sent + at >= end), None)
+        lost += 1.0 - (earned_share(kind, taken) if taken is not None else 0.0)
+    return lost / STEPS_PER_SECOND
 
 
-def moved_to_events(spans, events):
+def align_to_events(outages, events):
     """Returns the spans, begun at the event that ended the daemons: their last lines are lost."""
     moved = []
-    for begin, end in spans:
-        causes = [event["at_s"] for event in events if begin <= event["at_s"] < begin + LOG_GAP]
+    for begin, end in outages:
+        causes = [event["at_s"] for event in events if begin <= event["at_s"] < begin + LOG_BUFFER_SECONDS]
         moved.append((min([*causes, end]) if causes else begin, end))
     return moved
 
@@ -116,11 +116,11 @@
     with open(sys.argv[2]) as file:
         report = json.load(file)
     lines, starts, drops = read_log(sys.argv[3])
-    spans = moved_to_events(dark_spans(lines, starts), report["events"])
+    outages = align_to_events(find_outages(lines, starts), report["events"])
     kinds = {kind["name"]: kind for kind in site["classes"]}
-    asked = {row["name"]: row["n"] * kinds[row["name"]].get("worth", 1)
+    requested_worth = {row["name"]: row["n"] * kinds[row["name"]].get("worth", 1)
              for row in report["classes"] if row["name"] in kinds}
-    total = sum(asked.values())
+    total = sum(requested_worth.values())
     windows = [(float(row["name"]), row["n"], row["worth"]) for row in report["windows"]]
     width = windows[1][0] - windows[0][0]
     requests = sum(n for _, n, _ in windows)
@@ -131,18 +131,18 @@
         lost = (1 - worth) * share
         window = (begin, begin + width)
         unavoidable = sum(
-            lost_in_dark(kinds[name], span, window) / width * share * asked[name] / total
-            for name in asked for span in spans)
+            unavoidable_loss(kinds[name], outage, window) / width * share * requested_worth[name] / total
+            for name in requested_worth for outage in outages)
         modelled = unavoidable
         unavoidable = min(unavoidable, lost)  # What was earned was possible.
         lost_sum, unavoidable_sum = lost_sum + lost, unavoidable_sum + unavoidable
-        if lost < LOSS * share:
+        if lost < MIN_REPORTED_LOSS * share:
             continue
         counts = sum((drops[second] for second in range(int(begin), int(begin + width))),
                      collections.Counter())
-        told = ", ".join(f"{reason} {count}" for reason, count in counts.most_common(4))
-        print(f"{begin:5.0f}-{begin + width:<4.0f} {lost:.4f}  {modelled:.4f}  {told}")
-    for begin, end in spans:
+        drop_counts = ", ".join(f"{reason} {count}" for reason, count in counts.most_common(4))
+        print(f"{begin:5.0f}-{begin + width:<4.0f} {lost:.4f}  {modelled:.4f}  {drop_counts}")
+    for begin, end in outages:
         print(f"dark from {begin:.2f} to {end:.2f}")
     prices = sum(price for _, _, price in report["prices"])
     print(f"credit {1 - lost_sum:.4f}, possible {1 - unavoidable_sum:.4f}, prices {prices:.4f}, "
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -20,9 +20,9 @@
 PACKET_BACKENDS = 4
 WATCH_SESSIONS = 300
 PACKET_SESSIONS = 40
-CALLER_SECONDS = 48
-WALK_IN_SESSIONS = 15  # Opened at each of WALK_IN_SECONDS, so that new flows meet every fault.
-WALK_IN_SECONDS = [6, 9, 11, 13, 16, 20, 23, 27, 29, 31, 34, 36, 39, 42, 45]
+CLIENT_SECONDS = 48
+SESSIONS_PER_BATCH = 15  # Opened at each of WALK_IN_SECONDS, so that new flows meet every fault.
+BATCH_START_SECONDS = [6, 9, 11, 13, 16, 20, 23, 27, 29, 31, 34, 36, 39, 42, 45]
 
 
 def read_policy(root, name):
@@ -40,7 +40,7 @@
     for index in range(PACKET_BACKENDS):
         fleet.start_backend("packet", f"pk-{index + 1}", ZONES[index % 3])
     for name, zone in DAEMONS:
-        fleet.plan_daemon(name, zone)
+        fleet.add_daemon(name, zone)
     fleet.write_machines()
     fleet.start_fabric()
     fleet.publish("first configuration")
@@ -50,7 +50,7 @@
     return fleet
 
 
-def fault(fleet, text):
+def record_fault(fleet, text):
     print(f"  fault: {text}", flush=True)
     fleet.record("fault", actor="operator", detail=text)
 
@@ -80,63 +80,63 @@
     fleet.publish("hall-3 is taken out: its back ends get no new flow")
 
 
-def take_zone_back(fleet):
+def restore_zone(fleet):
     fleet.services["rate-watch"].evacuated_zones = []
     fleet.publish("hall-3 is taken back")
 
 
 def kill_daemon(fleet):
-    fault(fleet, "daemon lb-2 is killed")
+    record_fault(fleet, "daemon lb-2 is killed")
     fleet.signal("lb-2", signal.SIGKILL)
     time.sleep(0.5)  # The fabric notices late.
-    fleet.daemons["lb-2"]["sprayed"] = False
+    fleet.daemons["lb-2"]["receives_traffic"] = False
     fleet.write_machines()
 
 
 def stop_daemon(fleet):
-    fault(fleet, "daemon lb-4 stops as planned")
+    record_fault(fleet, "daemon lb-4 stops as planned")
     fleet.signal("lb-4", signal.SIGTERM)
     time.sleep(0.3)
-    fleet.daemons["lb-4"]["sprayed"] = False
+    fleet.daemons["lb-4"]["receives_traffic"] = False
     fleet.write_machines()
 
 
 def join_daemon(fleet):
-    fault(fleet, "daemon lb-6 joins")
-    fleet.plan_daemon("lb-6", "hall-3")
+    record_fault(fleet, "daemon lb-6 joins")
+    fleet.add_daemon("lb-6", "hall-3")
     fleet.write_machines()
     fleet.start_daemon("lb-6")
 
 
-def freeze_daemon(fleet):
-    fault(fleet, "daemon lb-1 freezes")
+def pause_daemon(fleet):
+    record_fault(fleet, "daemon lb-1 freezes")
     fleet.signal("lb-1", signal.SIGSTOP)
 
 
-def wake_daemon(fleet):
-    fault(fleet, "daemon lb-1 wakes")
+def resume_daemon(fleet):
+    record_fault(fleet, "daemon lb-1 wakes")
     fleet.signal("lb-1", signal.SIGCONT)
 
 
-def platform_down(fleet):
-    fault(fleet, "platform_down")
+def stop_platform(fleet):
+    record_fault(fleet, "platform_down")
     fleet.processes["platform"].terminate()
     fleet.wait("platform", 10)
 
 
-def platform_stale(fleet):
-    fault(fleet, "platform_stale: it serves version 1 again")
+def serve_stale_configuration(fleet):
+    record_fault(fleet, "platform_stale: it serves version 1 again")
     fleet.start_platform("configuration-1.json")
 
 
-def platform_fresh(fleet):
-    fault(fleet, "platform_up: it serves the present configuration")
+def serve_current_configuration(fleet):
+    record_fault(fleet, "platform_up: it serves the present configuration")
     fleet.processes["platform"].terminate()
     fleet.wait("platform", 10)
     fleet.start_platform()
 
 
-def drain_while_frozen(fleet):
+def drain_during_pause(fleet):
     fleet.services["rate-watch"].backends["rw-5"]["state"] = "leaving"
     fleet.record("backend_leaving", actor="rw-5")
     fleet.publish("back end rw-5 leaves while lb-1 is frozen")
@@ -144,24 +144,24 @@
 
 # Seconds after the callers started, and what happens then.
 STEPS = [(5, replace_policy), (8, drain_backend), (12, add_backend), (15, kill_daemon),
-         (19, stop_daemon), (22, join_daemon), (25, freeze_daemon), (26, drain_while_frozen),
-         (30, wake_daemon), (33, platform_down), (35, platform_stale), (38, platform_fresh),
-         (41, evacuate_zone), (44, take_zone_back)]
+         (19, stop_daemon), (22, join_daemon), (25, pause_daemon), (26, drain_during_pause),
+         (30, resume_daemon), (33, stop_platform), (35, serve_stale_configuration), (38, serve_current_configuration),
+         (41, evacuate_zone), (44, restore_zone)]
 
 
-def open_walk_ins(index, second):
+def open_session_batch(index, second):
     """Returns a step that opens new sessions, which then stand until the end."""
     def step(fleet):
-        fleet.start_caller(f"walk-in-{index}", "rate-watch", f"10.{100 + index}.0",
-                           WALK_IN_SESSIONS, CALLER_SECONDS - second, 20 + index)
+        fleet.start_client(f"batch-{index}", "rate-watch", f"10.{100 + index}.0",
+                           SESSIONS_PER_BATCH, CLIENT_SECONDS - second, 20 + index)
     return step
 
 
 def run_steps(fleet):
     began = time.monotonic()
-    walk_ins = [(second, open_walk_ins(index, second))
-                for index, second in enumerate(WALK_IN_SECONDS)]
-    for second, step in sorted(STEPS + walk_ins, key=lambda item: item[0]):
+    session_batches = [(second, open_session_batch(index, second))
+                for index, second in enumerate(BATCH_START_SECONDS)]
+    for second, step in sorted(STEPS + session_batches, key=lambda item: item[0]):
         time.sleep(max(0.0, began + second - time.monotonic()))
         step(fleet)
 
@@ -176,12 +176,12 @@
     try:
         time.sleep(5)
         print(f"starting {WATCH_SESSIONS} + {PACKET_SESSIONS} standing sessions", flush=True)
-        fleet.start_caller("desk", "rate-watch", "10.81.0", WATCH_SESSIONS, CALLER_SECONDS, 11)
-        fleet.start_caller("agency", "packet", "10.82.0", PACKET_SESSIONS, CALLER_SECONDS, 12)
+        fleet.start_client("desk", "rate-watch", "10.81.0", WATCH_SESSIONS, CLIENT_SECONDS, 11)
+        fleet.start_client("agency", "packet", "10.82.0", PACKET_SESSIONS, CLIENT_SECONDS, 12)
         run_steps(fleet)
-        walk_ins = [f"walk-in-{index}" for index in range(len(WALK_IN_SECONDS))]
-        for caller in ["desk", "agency", *walk_ins]:
-            fleet.wait(caller, 60)
+        session_batches = [f"batch-{index}" for index in range(len(BATCH_START_SECONDS))]
+        for client in ["desk", "agency", *session_batches]:
+            fleet.wait(client, 60)
     finally:
         fleet.stop_all()
     fleet.collect_versions()
--- a/scripts/demo_fleet.py
+++ b/scripts/demo_fleet.py
@@ -51,9 +51,9 @@
         self.services = {}
         self.version = 0
         self.network = LoopbackNetwork()
-        self.host = self.network.at(0, 1)
-        self.fabric_port = self.network.port()
-        self.platform_port = self.network.port()
+        self.host = self.network.host_address(0, 1)
+        self.fabric_port = self.network.allocate_port()
+        self.platform_port = self.network.allocate_port()
         self.history = open(self.path("history-operator.jsonl"), "a", encoding="utf-8")
 
     def path(self, name):
@@ -98,7 +98,7 @@
             if daemon["listed"]
         ]
         self.write_atomically("machines.json", json.dumps({"machines": machines}))
-        lines = [f"{self.host}:{d['data']}" for d in self.daemons.values() if d["sprayed"]]
+        lines = [f"{self.host}:{d['data']}" for d in self.daemons.values() if d["receives_traffic"]]
         self.write_atomically("daemons.txt", "\n".join(lines) + "\n")
 
     def start_platform(self, configuration="configuration.json"):
@@ -116,10 +116,10 @@
 
     # Daemons
 
-    def plan_daemon(self, name, zone):
+    def add_daemon(self, name, zone):
         self.daemons[name] = {
-            "zone": zone, "control": self.network.port(), "data": self.network.port(),
-            "admin": self.network.port(), "listed": True, "sprayed": True}
+            "zone": zone, "control": self.network.allocate_port(), "data": self.network.allocate_port(),
+            "admin": self.network.allocate_port(), "listed": True, "receives_traffic": True}
 
     def start_daemon(self, name):
         daemon = self.daemons[name]
@@ -154,7 +154,7 @@
     # Back ends
 
     def start_backend(self, service, name, zone, *flags):
-        port = self.network.port()
+        port = self.network.allocate_port()
         self.services[service].backends[name] = {
             "name": name, "address": self.host, "port": port, "incarnation": 1, "zone": zone,
             "state": "active", "capacity": 2000}
@@ -165,7 +165,7 @@
 
     # Callers
 
-    def start_caller(self, name, service, network, sessions, seconds, seed, *flags):
+    def start_client(self, name, service, network, sessions, seconds, seed, *flags):
         target = self.services[service]
         return self.spawn(
             name, "cobaltgauge-standin", "caller", f"--name={name}", f"--service={service}",
--- a/scripts/fleet_log.py
+++ b/scripts/fleet_log.py
@@ -7,7 +7,7 @@
     r"(-?\d+\.\d+) (\S+) time=(?:(?! time=).)*?event=(\S+)((?:(?!-?\d+\.\d+ \S+ time=).)*)")
 
 
-def records(path):
+def read_records(path):
     """Yields the second, the daemon, the event and the text of the fields of each record."""
     with open(path, errors="replace") as log:
         for text in log:
--- a/scripts/kind_days.py
+++ b/scripts/kind_days.py
@@ -11,11 +11,11 @@
 import sys
 import tomllib
 
-MOMENTS = (5.0, 19.0)  # Seconds from the start of traffic: early and late in a day of 34 s.
-PLANNED = {"add_nodes", "big_config", "config_change", "config_storm", "hup", "release",
+EVENT_TIMES_SECONDS = (5.0, 19.0)  # Seconds from the start of traffic: early and late in a day of 34 s.
+PLANNED_KINDS = {"add_nodes", "big_config", "config_change", "config_storm", "hup", "release",
            "roll_term", "scale_in", "scale_out"}
 SEED = 4900
-HEAD = """# {kind} {how}, alone and twice.
+HEADER = """# {kind} {how}, alone and twice.
 name = "{name}"
 slot = "trouble"
 seed = {seed}
@@ -25,19 +25,19 @@
 """
 
 
-def inline(value):
+def toml_literal(value):
     """Returns a value in TOML's form."""
     return f'"{value}"' if isinstance(value, str) else str(value)
 
 
-def day(name, trouble):
+def format_day(name, trouble):
     kind = trouble["kind"]
-    text = HEAD.format(kind=kind, how=trouble.get("how", ""), name=name, seed=SEED)
+    text = HEADER.format(kind=kind, how=trouble.get("how", ""), name=name, seed=SEED)
     for part in ("plan", "faults"):
         text += f"{part} = [\n"
-        if (kind in PLANNED) == (part == "plan"):
-            fields = ", ".join(f"{key} = {inline(value)}" for key, value in trouble.items())
-            text += "".join(f"  {{ at = {at}, {fields} }},\n" for at in MOMENTS)
+        if (kind in PLANNED_KINDS) == (part == "plan"):
+            fields = ", ".join(f"{key} = {toml_literal(value)}" for key, value in trouble.items())
+            text += "".join(f"  {{ at = {at}, {fields} }},\n" for at in EVENT_TIMES_SECONDS)
         text += "]\n"
     return text
 
@@ -51,7 +51,7 @@
         troubles = tomllib.load(file)["troubles"]
     for number, trouble in enumerate(troubles):
         name = f"{number:02d}-{trouble['kind']}"
-        (folder / f"{name}.toml").write_text(day(name, trouble))
+        (folder / f"{name}.toml").write_text(format_day(name, trouble))
 
 
 if __name__ == "__main__":
--- a/scripts/loopback.py
+++ b/scripts/loopback.py
@@ -9,9 +9,9 @@
 import itertools
 import socket
 
-NETWORKS = range(20, 250)
-GUARD_HOST = "255.254"  # Bound by the run that holds the network.
-GUARD_PORT = 19999
+NETWORK_NUMBERS = range(20, 250)
+LOCK_HOST = "255.254"  # Bound by the run that holds the network.
+LOCK_PORT = 19999
 FIRST_PORT = 20000  # The system hands out ports from 32768 on.
 LAST_PORT = 32767
 
@@ -19,15 +19,15 @@
 class LoopbackNetwork:
     """A network 127.N.0.0/16 that no other run holds. It is free again when `close` is called."""
 
-    def __init__(self, numbers=NETWORKS):
-        self.guard, self.prefix = reserve(numbers)
+    def __init__(self, numbers=NETWORK_NUMBERS):
+        self.lock_socket, self.prefix = reserve_prefix(numbers)
         self.ports = itertools.count(FIRST_PORT)
 
-    def at(self, net, host):
+    def host_address(self, net, host):
         """Returns an address of this network."""
         return f"{self.prefix}.{net}.{host}"
 
-    def port(self):
+    def allocate_port(self):
         """Returns a port that this run has not used yet, on any address of the network."""
         port = next(self.ports)
         if port > LAST_PORT:
@@ -35,20 +35,20 @@
         return port
 
     def close(self):
-        self.guard.close()
+        self.lock_socket.close()
 
 
-def reserve(numbers):
+def reserve_prefix(numbers):
     """Returns the bound guard and the prefix of the first network of `numbers` that is free."""
     for number in numbers:
         prefix = f"127.{number}"
-        guard = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        lock_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         try:
-            guard.bind((f"{prefix}.{GUARD_HOST}", GUARD_PORT))
+            lock_socket.bind((f"{prefix}.{LOCK_HOST}", LOCK_PORT))
         except OSError as error:
-            guard.close()
+            lock_socket.close()
             if error.errno != errno.EADDRINUSE:
                 raise
             continue
-        return guard, prefix
+        return lock_socket, prefix
     raise OSError("every loopback network is held by another run")
--- a/scripts/smoke.py
+++ b/scripts/smoke.py
@@ -17,7 +17,7 @@
 LIMITED = POLICY + " function limits() return { new_flows_per_second = 1 } end"
 
 
-def ask(fleet, *arguments):
+def run_ctl(fleet, *arguments):
     daemon = fleet.daemons["lb-1"]
     command = [os.path.join(fleet.build, "cobaltgaugectl"), arguments[0],
                f"--admin={fleet.host}:{daemon['admin']}", *arguments[1:]]
@@ -34,22 +34,22 @@
         fleet.start_backend("desk", "d-1", "z", "--service-ms=60", "--slots=1")
         fleet.start_backend("desk", "d-2", "z", "--service-ms=60", "--slots=1")
         fleet.start_backend("narrow", "n-1", "z")
-        fleet.plan_daemon("lb-1", "z")
+        fleet.add_daemon("lb-1", "z")
         fleet.write_machines()
         fleet.start_fabric()
         fleet.publish("two services")
         fleet.start_platform()
         fleet.start_daemon("lb-1")
         try:
-            fleet.start_caller("c", "desk", "10.81.0", 20, 12, 1, "--cancel-percent=40",
+            fleet.start_client("c", "desk", "10.81.0", 20, 12, 1, "--cancel-percent=40",
                                "--interval-ms=150")
-            fleet.start_caller("n", "narrow", "10.82.0", 10, 12, 1)
+            fleet.start_client("n", "narrow", "10.82.0", 10, 12, 1)
             fleet.wait("c", 120)
             fleet.wait("n", 120)
-            status = json.loads(ask(fleet, "status"))
+            status = json.loads(run_ctl(fleet, "status"))
             explanation = json.loads(
-                ask(fleet, "explain", "udp", "10.81.0.1:20000", "10.90.0.1:5683"))
-            metrics = ask(fleet, "metrics")
+                run_ctl(fleet, "explain", "udp", "10.81.0.1:20000", "10.90.0.1:5683"))
+            metrics = run_ctl(fleet, "metrics")
             failed = fleet.failed()
         finally:
             fleet.stop_all()
@@ -70,8 +70,8 @@
                 'refused_total{reason="new_flow_rate"} 0' not in metrics
                 and "cobaltgauge_refusals_sent_total 0" not in metrics,
         }
-        for name, holds in checks.items():
-            print(("ok      " if holds else "FAILED  ") + name)
+        for name, passed in checks.items():
+            print(("ok      " if passed else "FAILED  ") + name)
         return 0 if all(checks.values()) else 1
 
 
--- a/scripts/store_calls.py
+++ b/scripts/store_calls.py
@@ -14,14 +14,14 @@
 import fleet_log
 
 FIELD = re.compile(r"(\w+)=(\S+)")
-FEWEST = 5  # Reads in a second that are worth a row.
+MIN_REPORTED_READS = 5  # Reads in a second that are worth a row.
 
 
 def read_log(path):
     """Returns, by second, the reads by cause and outcome, and the daemons that made them."""
     reads = collections.defaultdict(collections.Counter)
     daemons = collections.defaultdict(set)
-    for at, node, event, text in fleet_log.records(path):
+    for at, node, event, text in fleet_log.read_records(path):
         fields = dict(FIELD.findall(text))
         if event != "store_read" or "outcome" not in fields:  # Cut short by a kill.
             continue
@@ -32,7 +32,7 @@
     return reads, daemons
 
 
-def told(counter):
+def format_counts(counter):
     return ", ".join(f"{cause} {count}" for cause, count in counter.most_common())
 
 
@@ -45,9 +45,9 @@
     for second in sorted(reads):
         total.update(reads[second])
         count = sum(reads[second].values())
-        if count >= FEWEST:
-            print(f"{second:6d}  {count:5d}  {len(daemons[second]):7d}  {told(reads[second])}")
-    print(f"all: {sum(total.values())} reads: {told(total)}")
+        if count >= MIN_REPORTED_READS:
+            print(f"{second:6d}  {count:5d}  {len(daemons[second]):7d}  {format_counts(reads[second])}")
+    print(f"all: {sum(total.values())} reads: {format_counts(total)}")
 
 
 if __name__ == "__main__":
--- a/scripts/store_proxy.py
+++ b/scripts/store_proxy.py
@@ -11,51 +11,51 @@
     def __init__(self, upstream):
         self.upstream = upstream
         self.mode = "up"  # up, delay, deaf (nothing back), mute (nothing through), refuse
-        self.hushed = set()  # Pairs that carry nothing more, while new ones do.
-        self.pairs = []
+        self.stalled = set()  # Pairs that carry nothing more, while new ones do.
+        self.connections = []
         self.listener = socket.create_server((upstream[0], 0))
         self.address = f"{upstream[0]}:{self.listener.getsockname()[1]}"
         threading.Thread(target=self.accept, daemon=True).start()
 
     def accept(self):
         while True:
-            near, _ = self.listener.accept()
+            client, _ = self.listener.accept()
             if self.mode == "refuse":
-                near.close()
+                client.close()
                 continue
-            far = socket.create_connection(self.upstream)
-            pair = (near, far)
-            self.pairs.append(pair)
-            for source, target, cut in ((near, far, "mute"), (far, near, "deaf")):
-                threading.Thread(target=self.pump, args=(source, target, cut, pair),
+            server = socket.create_connection(self.upstream)
+            connection = (client, server)
+            self.connections.append(connection)
+            for source, target, blocking_mode in ((client, server, "block_requests"), (server, client, "block_responses")):
+                threading.Thread(target=self.relay, args=(source, target, blocking_mode, connection),
                                  daemon=True).start()
 
-    def pump(self, source, target, cut, pair):
+    def relay(self, source, target, blocking_mode, connection):
         try:
             while data := source.recv(65536):
                 if self.mode == "delay":
                     time.sleep(0.3)
-                while self.mode == cut:
+                while self.mode == blocking_mode:
                     time.sleep(0.05)
-                if pair not in self.hushed:
+                if connection not in self.stalled:
                     target.sendall(data)
         except OSError:
             pass
-        for end in (source, target):
+        for endpoint in (source, target):
             try:
-                end.shutdown(socket.SHUT_RDWR)
+                endpoint.shutdown(socket.SHUT_RDWR)
             except OSError:
                 pass
 
-    def hush(self):
+    def stall(self):
         """Lets open connections go silent for good, without a reset."""
-        self.hushed |= set(self.pairs)
+        self.stalled |= set(self.connections)
 
     def reset(self):
-        pairs, self.pairs = self.pairs, []
-        for pair in pairs:
-            for end in pair:
+        connections, self.connections = self.connections, []
+        for connection in connections:
+            for endpoint in connection:
                 try:
-                    end.close()
+                    endpoint.close()
                 except OSError:
                     pass
--- a/scripts/throughput.py
+++ b/scripts/throughput.py
@@ -32,13 +32,13 @@
     shutil.rmtree(directory, ignore_errors=True)
     os.makedirs(directory)
     fleet = Fleet(os.path.join(root, "build"), directory)
-    backend_port = fleet.network.port()
-    relay_port = fleet.network.port()
+    backend_port = fleet.network.allocate_port()
+    relay_port = fleet.network.allocate_port()
     service = Service("bench", SERVICE_ADDRESS, SERVICE_PORT, "function place() return 1 end")
     service.backends["b"] = {"name": "b", "address": fleet.host, "port": backend_port, "incarnation": 1,
                              "zone": "z", "state": "active", "capacity": 1}
     fleet.services["bench"] = service
-    fleet.plan_daemon("lb-1", "z")
+    fleet.add_daemon("lb-1", "z")
     fleet.write_machines()
     fleet.publish("one service, one back end")
     fleet.start_platform()
--- a/scripts/token_fleet.py
+++ b/scripts/token_fleet.py
@@ -22,28 +22,28 @@
 from loopback import LoopbackNetwork
 
 SYN, ACK, FIN, RST = 64, 4, 8, 1
-HEAD = struct.Struct("<IBIHIIIHHI")  # sum, flags, echo, len, seq, ack, src, dport, sport, dst
-SLOW_SECONDS = 0.05
+HEADER = struct.Struct("<IBIHIIIHHI")  # sum, flags, echo, len, seq, ack, src, dport, sport, dst
+SLOW_REPLY_DELAY_SECONDS = 0.05
 BACKEND_PORT = 8080
-PATIENCE = 20.0  # Longest wait for something that must happen, in seconds.
+WAIT_TIMEOUT_SECONDS = 20.0  # Longest wait for something that must happen, in seconds.
 
 
-def number(address):
+def address_to_int(address):
     return struct.unpack("!I", socket.inet_aton(address))[0]
 
 
-def wait_until(condition, what, seconds=PATIENCE):
-    end = time.monotonic() + seconds
+def wait_until(condition, description, timeout_seconds=WAIT_TIMEOUT_SECONDS):
+    end = time.monotonic() + timeout_seconds
     while time.monotonic() < end:
         if condition():
             return
         time.sleep(0.02)
-    raise AssertionError(f"not within {seconds} s: {what}")
+    raise AssertionError(f"not within {timeout_seconds} s: {description}")
 
 
 class Store:
-    """Items with revisions, a history and faults. `mode`: up, busy (503), throttled (429), silent,
-    away (no answer, and the connection ends).
+    """Items with revisions, a history and faults. `mode`: up, busy (503), throttled (429), unresponsive,
+    closing (no answer, and the connection ends).
 
     It may come back from an older copy of itself: what was written since is gone, its revisions are
     given out again, and a number that rises with each return stands in every answer."""
@@ -52,16 +52,16 @@
         self.lock = threading.Condition()
         self.items, self.history, self.revision, self.history_from = {}, [], 0, 0
         self.era = 1
-        self.written = {}  # What was written last under each key; None for a removal.
+        self.last_written = {}  # What was written last under each key; None for a removal.
         self.mode = "up"
-        self.refused = set()  # Addresses that get no service.
+        self.blocked_clients = set()  # Addresses that get no service.
         store = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
             protocol_version = "HTTP/1.1"
 
             def do_GET(self):
-                status, body = store.answer(self.client_address[0], self.path)
+                status, body = store.respond(self.client_address[0], self.path)
                 if status is None:
                     self.close_connection = True
                     return
@@ -88,7 +88,7 @@
 
     def put(self, key, value):
         with self.lock:
-            self.written[key] = value
+            self.last_written[key] = value
             self.revision += 1
             text = base64.b64encode(json.dumps(value).encode()).decode()
             item = {"key": key, "value": text, "revision": self.revision, "created": self.revision,
@@ -99,7 +99,7 @@
 
     def remove(self, key):
         with self.lock:
-            self.written[key] = None
+            self.last_written[key] = None
             self.revision += 1
             self.items.pop(key, None)
             self.history.append({"key": key, "revision": self.revision, "gone": True})
@@ -109,28 +109,28 @@
         with self.lock:
             self.history, self.history_from = [], self.revision
 
-    def copy(self):
+    def snapshot(self):
         with self.lock:
             return dict(self.items), list(self.history), self.revision, self.history_from
 
-    def come_back_from(self, copy):
+    def restore(self, snapshot):
         with self.lock:
-            items, history, self.revision, self.history_from = copy
+            items, history, self.revision, self.history_from = snapshot
             self.items, self.history = dict(items), list(history)
             self.era += 1
             self.lock.notify_all()
 
-    def write_again(self):
+    def rewrite_lost_items(self):
         """What a copy lacks is written again by whoever wrote it, and removed what should be gone."""
         with self.lock:
-            written = dict(self.written)
-        for key, value in written.items():
+            last_written = dict(self.last_written)
+        for key, value in last_written.items():
             with self.lock:
                 item = self.items.get(key)
-                stands = None if item is None else json.loads(base64.b64decode(item["value"]))
-            if value is None and stands is not None:
+                stored = None if item is None else json.loads(base64.b64decode(item["value"]))
+            if value is None and stored is not None:
                 self.remove(key)
-            elif value is not None and stands != value:
+            elif value is not None and stored != value:
                 self.put(key, value)
 
     def set_mode(self, mode):
@@ -138,15 +138,15 @@
             self.mode = mode
             self.lock.notify_all()
 
-    def answer(self, caller, path):
+    def respond(self, client, path):
         parts = urllib.parse.urlsplit(path)
         query = dict(urllib.parse.parse_qsl(parts.query, keep_blank_values=True))
         with self.lock:
-            if self.mode == "silent" or caller in self.refused:
-                self.lock.wait_for(lambda: self.mode != "silent" and caller not in self.refused,
+            if self.mode == "unresponsive" or client in self.blocked_clients:
+                self.lock.wait_for(lambda: self.mode != "unresponsive" and client not in self.blocked_clients,
                                    timeout=60)
                 return None, None
-            if self.mode == "away":
+            if self.mode == "closing":
                 return None, None
             if self.mode != "up":
                 return (503 if self.mode == "busy" else 429), {}
@@ -184,13 +184,13 @@
     def __init__(self, fleet, address, service, zone="a", warm_up_ms=0):
         self.fleet, self.address, self.service = fleet, address, service
         self.zone, self.warm_up_ms = zone, warm_up_ms
-        self.mute = False  # Acknowledges data and never answers it.
-        self.full = False  # Resets openings.
+        self.unresponsive = False  # Acknowledges data and never answers it.
+        self.overloaded = False  # Resets openings.
         self.slow = False  # Answers each packet SLOW_SECONDS later.
         fleet.next_id += 1
         self.id = fleet.next_id
         self.key = f"servers/i-{self.id:x}"
-        self.flows, self.strays, self.openings = {}, [], []
+        self.flows, self.misrouted_flows, self.openings = {}, [], []
         self.alive = True
         self.started = time.monotonic()
         self.sequence = 0
@@ -207,7 +207,7 @@
             "zone": self.zone, "version": "v1", "capacity": 2, "state": state,
             "warmup-left-ms": self.warm_up_ms, "sequence": self.sequence})
 
-    def leave(self):
+    def drain(self):
         self.register("draining")
 
     def crash(self):
@@ -227,39 +227,39 @@
     def on_datagram(self, datagram):
         target, packet = struct.unpack("!Q", datagram[:8])[0], datagram[8:]
         _, flags, echo, _, sequence, _, source, port, source_port, destination = \
-            HEAD.unpack(packet[:HEAD.size])
+            HEADER.unpack(packet[:HEADER.size])
         if target != self.id:
             return  # For another start of a back end at this address: ignored, as the real ones do.
         flow = (source, source_port, destination, port)
         if self.slow:
-            time.sleep(SLOW_SECONDS)
-        if flags & SYN and self.full:
+            time.sleep(SLOW_REPLY_DELAY_SECONDS)
+        if flags & SYN and self.overloaded:
             self.reply(flow, echo, RST, 0, 0)
         elif flags & SYN:
             self.openings.append((time.monotonic(), flow))
             self.flows[flow] = 1000 + self.id
             self.reply(flow, echo, SYN | ACK, self.flows[flow], sequence + 1)
         elif flow in self.flows:
-            data = packet[HEAD.size:]
-            self.flows[flow] += 10 if data and not self.mute else 0
-            if data and not self.mute:
+            data = packet[HEADER.size:]
+            self.flows[flow] += 10 if data and not self.unresponsive else 0
+            if data and not self.unresponsive:
                 self.reply(flow, echo, ACK, self.flows[flow], sequence + len(data))
         else:
-            self.strays.append(flow)
+            self.misrouted_flows.append(flow)
             self.reply(flow, echo, RST, 0, 0)
 
     def reply(self, flow, echo, flags, sequence, acknowledged):
         source, source_port, destination, port = flow
-        head = HEAD.pack(1, flags, echo, 0, sequence, acknowledged & 0xffffffff, destination,
+        header = HEADER.pack(1, flags, echo, 0, sequence, acknowledged & 0xffffffff, destination,
                          source_port, port, source)
         try:
-            self.socket.sendto(head, (socket.inet_ntoa(struct.pack("!I", source)),
+            self.socket.sendto(header, (socket.inet_ntoa(struct.pack("!I", source)),
                                       self.fleet.data_port))
         except OSError:
             pass
 
 
-class Caller:
+class Client:
     """Opens flows and sends data on them, through whichever daemon it is told to."""
 
     def __init__(self, fleet, address):
@@ -275,16 +275,16 @@
         while True:
             packet = self.socket.recv(2048)
             total, flags, echo, _, sequence, acknowledged, _, port, _, _ = \
-                HEAD.unpack(packet[:HEAD.size])
+                HEADER.unpack(packet[:HEADER.size])
             with self.lock:
                 self.received[port] = (flags, echo, sequence, acknowledged, total == 0)
                 self.lock.notify_all()
 
     def send(self, daemon, port, flags, echo, sequence, acknowledged, to, data=b""):
         address, to_port = to
-        head = HEAD.pack(1, flags, echo, len(data), sequence, acknowledged, number(self.address),
-                         to_port, port, number(address))
-        self.socket.sendto(head + data, (daemon.address, self.fleet.data_port))
+        header = HEADER.pack(1, flags, echo, len(data), sequence, acknowledged, address_to_int(self.address),
+                         to_port, port, address_to_int(address))
+        self.socket.sendto(header + data, (daemon.address, self.fleet.data_port))
 
     def exchange(self, daemons, port, flags, echo, sequence, acknowledged, to, data=b"",
                  waits=(0.2, 0.4, 0.8)):
@@ -293,10 +293,10 @@
         Returns the answer, or None."""
         with self.lock:
             self.received.pop(port, None)
-        for copy, wait in enumerate(waits):
+        for attempt, wait in enumerate(waits):
             opening = flags & SYN
-            self.send(daemons[copy % len(daemons)], port, flags, echo, sequence,
-                      copy if opening else acknowledged, to, data)
+            self.send(daemons[attempt % len(daemons)], port, flags, echo, sequence,
+                      attempt if opening else acknowledged, to, data)
             with self.lock:
                 if self.lock.wait_for(lambda: port in self.received, timeout=wait):
                     return self.received[port]
@@ -306,22 +306,22 @@
         """Returns a flow (port, echo, the back end's sequence number), or None where refused."""
         self.next_port += 1
         port = self.next_port
-        answer = self.exchange(daemons, port, SYN, 0, 100, 0, to)
-        if answer is None or answer[0] & RST:
+        response = self.exchange(daemons, port, SYN, 0, 100, 0, to)
+        if response is None or response[0] & RST:
             return None
-        flow = {"port": port, "echo": answer[1], "ack": answer[2] + 1, "seq": 101, "to": to}
+        flow = {"port": port, "echo": response[1], "ack": response[2] + 1, "seq": 101, "to": to}
         return flow
 
-    def ask(self, daemons, flow, waits=(0.2, 0.4, 0.8)):
-        """Sends ten bytes on a flow. Returns ok, reset (by the system), gone (by the back end), or
-        silent."""
-        answer = self.exchange(daemons, flow["port"], ACK, flow["echo"], flow["seq"], flow["ack"],
+    def send_data(self, daemons, flow, waits=(0.2, 0.4, 0.8)):
+        """Sends ten bytes on a flow. Returns ok, reset (by the system), backend_reset, or
+        timeout."""
+        response = self.exchange(daemons, flow["port"], ACK, flow["echo"], flow["seq"], flow["ack"],
                                flow["to"], b"0123456789", waits)
-        if answer is None:
-            return "silent"
-        if answer[0] & RST:
-            return "reset" if answer[4] else "gone"
-        flow["echo"], flow["ack"], flow["seq"] = answer[1], answer[2], answer[3]
+        if response is None:
+            return "timeout"
+        if response[0] & RST:
+            return "reset" if response[4] else "backend_reset"
+        flow["echo"], flow["ack"], flow["seq"] = response[1], response[2], response[3]
         return "ok"
 
 
@@ -372,8 +372,8 @@
         self.process.kill()
         self.process.wait()
 
-    def send_signal(self, what):
-        self.process.send_signal(what)
+    def send_signal(self, signal_number):
+        self.process.send_signal(signal_number)
 
     def get(self, port, path):
         try:
@@ -390,7 +390,7 @@
     def metrics(self):
         return self.get(self.fleet.admin_port, "/metrics")[1]
 
-    def lines(self, event):
+    def log_lines(self, event):
         with open(self.log, encoding="utf-8") as log:
             return [line for line in log if f"event={event} " in line + " "]
 
@@ -399,17 +399,17 @@
     def __init__(self, build, directory, policy):
         self.build, self.directory, self.policy = build, directory, policy
         self.network = LoopbackNetwork()
-        self.data_port, self.ready_port = self.network.port(), self.network.port()
-        self.peer_port, self.admin_port = self.network.port(), self.network.port()
-        self.store = Store(self.at(0, 1))
+        self.data_port, self.ready_port = self.network.allocate_port(), self.network.allocate_port()
+        self.peer_port, self.admin_port = self.network.allocate_port(), self.network.allocate_port()
+        self.store = Store(self.host_address(0, 1))
         self.next_id = 0x1000
         self.daemons, self.backends = [], []
         self.version = 0
         self.services = []  # As the configuration describes them.
 
-    def at(self, net, host):
+    def host_address(self, net, host):
         """Returns an address of this run."""
-        return self.network.at(net, host)
+        return self.network.host_address(net, host)
 
     def publish(self, routes):
         """`routes`: (address, port, service) each."""
@@ -427,7 +427,7 @@
     def evacuate(self, zone):
         self.store.put(f"op/evacuate/{zone}", {})
 
-    def take_back(self, zone):
+    def restore_zone(self, zone):
         self.store.remove(f"op/evacuate/{zone}")
 
     def start_backend(self, address, service, zone="a", warm_up_ms=0):
