--- a/src/configuration/configuration_json.cc
+++ b/src/configuration/configuration_json.cc
@@ -17,7 +17,8 @@
 constexpr std::uint64_t kMaxCapacity = 10'000'000;
 
 core::Backend readBackend(JsonReader& reader, core::ServiceId service, std::uint32_t& capacity) {
-  reader.allowOnly({"name", "address", "port", "incarnation", "zone", "state", "capacity"});
+  reader.rejectUnknownFields(
+      {"name", "address", "port", "incarnation", "zone", "state", "capacity"});
   core::Backend backend;
   backend.name = reader.text("name");
   backend.zone = reader.textOr("zone", "default");
@@ -45,7 +46,7 @@
     return std::nullopt;
   }
   JsonReader reader(root, "configuration");
-  reader.allowOnly({"version", "services"});
+  reader.rejectUnknownFields({"version", "services"});
   core::ConfigurationDocument document;
   document.version = reader.number("version", 1, kMaxVersion);
   std::size_t index = 0;
@@ -81,7 +82,7 @@
     }
     services.push_back(std::move(*service));
   }
-  if (!checkTogether(services)) {
+  if (!checkConflicts(services)) {
     return std::nullopt;
   }
   return services;
@@ -95,8 +96,8 @@
     return fail(path + ": not valid JSON");
   }
   JsonReader reader(root, path);
-  reader.allowOnly({"name", "address", "port", "protocol", "class", "refusal", "policy", "backends",
-                    "evacuated_zones"});
+  reader.rejectUnknownFields({"name", "address", "port", "protocol", "class", "refusal", "policy",
+                              "backends", "evacuated_zones"});
   core::Service service;
   service.name = reader.text("name");
   service.id = core::serviceIdOf(service.name);
@@ -106,16 +107,16 @@
                                                                        : core::Protocol::kTcp;
   service.refusal =
       static_cast<core::RefusalForm>(reader.choice("refusal", {"none", "coap", "reset"}, 0));
-  const bool udp = service.protocol == core::Protocol::kUdp;
-  if (service.refusal == core::RefusalForm::kCoap && !udp) {
+  const bool isUdp = service.protocol == core::Protocol::kUdp;
+  if (service.refusal == core::RefusalForm::kCoap && !isUdp) {
     reader.fail("refusal", "coap needs protocol udp");
   }
-  if (service.refusal == core::RefusalForm::kReset && udp) {
+  if (service.refusal == core::RefusalForm::kReset && isUdp) {
     reader.fail("refusal", "reset needs protocol tcp");
   }
   const std::string source = reader.text("policy");
   const std::string flowClass = reader.textOr("class", service.name);
-  const std::set<std::string> evacuated = reader.namesOr("evacuated_zones");
+  const std::set<std::string> evacuated = reader.optionalNames("evacuated_zones");
   std::vector<std::uint32_t> capacities;
   std::set<std::string> names;
   for (const nlohmann::json& item : reader.array("backends")) {
@@ -161,14 +162,14 @@
   for (std::size_t i = 0; i < service.backends.size(); ++i) {
     service.backends[i].weight = result->weights[i];
   }
-  service.rank = result->rank;
+  service.rank = result->priority;
   service.limits = result->limits;
   service.tracked = service.protocol == core::Protocol::kUdp &&
                     (service.limits.flowsPerBackend != 0 || service.limits.newFlowsPerSecond != 0);
   return true;
 }
 
-bool JsonConfigurationCompiler::checkTogether(const std::vector<core::Service>& services) {
+bool JsonConfigurationCompiler::checkConflicts(const std::vector<core::Service>& services) {
   std::map<core::ServiceId, std::string> names;
   std::map<std::pair<core::Endpoint, core::Protocol>, std::string> virtualAddresses;
   std::map<core::Endpoint, std::string> backendOwners;
--- a/src/configuration/configuration_json.h
+++ b/src/configuration/configuration_json.h
@@ -33,7 +33,7 @@
   std::optional<core::Service> compileService(const core::ServiceDocument& document);
   bool applyPolicy(const std::string& source, const std::string& flowClass,
                    const std::vector<std::uint32_t>& capacities, core::Service& service);
-  bool checkTogether(const std::vector<core::Service>& services);
+  bool checkConflicts(const std::vector<core::Service>& services);
   std::nullopt_t fail(std::string reason);
 
   policy::PolicyEvaluator policies_;
--- a/src/configuration/json_reader.h
+++ b/src/configuration/json_reader.h
@@ -20,22 +20,22 @@
   JsonReader(const nlohmann::json& object, std::string path);
 
   /// Refuses fields that are not in the list.
-  void allowOnly(std::initializer_list<const char*> fields);
+  void rejectUnknownFields(std::initializer_list<const char*> fields);
 
   std::string text(const char* field);
-  std::string textOr(const char* field, const std::string& fallback);
-  std::uint64_t number(const char* field, std::uint64_t lowest, std::uint64_t highest);
-  std::uint64_t numberOr(const char* field, std::uint64_t fallback, std::uint64_t highest);
+  std::string textOr(const char* field, const std::string& defaultValue);
+  std::uint64_t number(const char* field, std::uint64_t min, std::uint64_t max);
+  std::uint64_t numberOr(const char* field, std::uint64_t defaultValue, std::uint64_t max);
   /// Reads an IP address.
   core::IpAddress address(const char* field);
-  /// Reads one of the given words. @return its position, 0 after an error.
-  std::size_t choice(const char* field, std::initializer_list<const char*> words,
-                     std::size_t fallback);
+  /// Reads one of the given choices. @return its position, 0 after an error.
+  std::size_t choice(const char* field, std::initializer_list<const char*> choices,
+                     std::size_t defaultValue);
   /// @return the array, or an empty one after an error.
   const nlohmann::json& array(const char* field);
 
   /// @return a list of names, empty where the field is missing or after an error.
-  std::set<std::string> namesOr(const char* field);
+  std::set<std::string> optionalNames(const char* field);
 
   /// Records an error about a field, unless there was one before.
   void fail(const std::string& field, const std::string& problem);
--- a/src/configuration/platform_client.cc
+++ b/src/configuration/platform_client.cc
@@ -52,7 +52,7 @@
 
 ReadResult PlatformClient::readConfiguration(core::ConfigurationDocument& document) {
   bool unchanged = false;
-  const std::optional<std::string> body = get(kConfigurationPath, &configurationTag_, unchanged);
+  const std::optional<std::string> body = get(kConfigurationPath, &configurationEtag_, unchanged);
   if (!body) {
     return unchanged ? ReadResult::kUnchanged : ReadResult::kFailed;
   }
--- a/src/configuration/platform_client.h
+++ b/src/configuration/platform_client.h
@@ -41,7 +41,7 @@
   std::string host_;
   std::uint16_t port_;
   std::chrono::milliseconds timeout_;
-  std::string configurationTag_;
+  std::string configurationEtag_;
   std::string lastReason_;
   ConfigurationParser parser_;
 };
--- a/src/ctl/command_options.cc
+++ b/src/ctl/command_options.cc
@@ -14,7 +14,8 @@
 
 constexpr int kUsageError = 2;
 
-[[noreturn]] void die(const std::string& name, const std::string& value, const char* expected) {
+[[noreturn]] void exitWithUsageError(const std::string& name, const std::string& value,
+                                     const char* expected) {
   std::cerr << "--" << name << ": got \"" << value << "\", expected " << expected << "\n";
   std::exit(kUsageError);
 }
@@ -75,7 +76,7 @@
   std::uint64_t number = 0;
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
   if (error != std::errc{} || end != value.data() + value.size()) {
-    die(name, value, "a whole number");
+    exitWithUsageError(name, value, "a whole number");
   }
   return number;
 }
@@ -83,7 +84,7 @@
 core::Endpoint CommandOptions::endpoint(const std::string& name) const {
   const std::optional<core::Endpoint> endpoint = net::parseEndpoint(values_.at(name));
   if (!endpoint) {
-    die(name, values_.at(name), "ADDRESS:PORT");
+    exitWithUsageError(name, values_.at(name), "ADDRESS:PORT");
   }
   return *endpoint;
 }
--- a/src/ctl/main.cc
+++ b/src/ctl/main.cc
@@ -80,7 +80,7 @@
   return 1;
 }
 
-int askDaemon(int argc, const char* const* argv) {
+int queryDaemon(int argc, const char* const* argv) {
   const std::string command = argv[0];
   const auto options = CommandOptions::parse(
       "cobaltgaugectl " + command,
@@ -110,21 +110,21 @@
   return 0;
 }
 
-int runOffline(const std::vector<std::string>& words) {
-  if (words.size() == 2 && words[0] == "check") {
-    const auto files = readFiles({words[1]});
+int runOffline(const std::vector<std::string>& arguments) {
+  if (arguments.size() == 2 && arguments[0] == "check") {
+    const auto files = readFiles({arguments[1]});
     return files ? finish(checkConfiguration(files->front())) : 1;
   }
-  if (words.size() == 3 && words[0] == "policy" && words[1] == "test") {
-    const auto files = readFiles({words[2]});
+  if (arguments.size() == 3 && arguments[0] == "policy" && arguments[1] == "test") {
+    const auto files = readFiles({arguments[2]});
     return files ? finish(testPolicies(files->front())) : 1;
   }
-  if (words.size() == 5 && words[0] == "policy" && words[1] == "test") {
-    const auto files = readFiles({words[2], words[4]});
-    return files ? finish(testPolicy((*files)[0], words[3], (*files)[1])) : 1;
+  if (arguments.size() == 5 && arguments[0] == "policy" && arguments[1] == "test") {
+    const auto files = readFiles({arguments[2], arguments[4]});
+    return files ? finish(testPolicy((*files)[0], arguments[3], (*files)[1])) : 1;
   }
-  if (words.size() == 4 && words[0] == "config" && words[1] == "diff") {
-    const auto files = readFiles({words[2], words[3]});
+  if (arguments.size() == 4 && arguments[0] == "config" && arguments[1] == "diff") {
+    const auto files = readFiles({arguments[2], arguments[3]});
     return files ? finish(compareConfigurations((*files)[0], (*files)[1])) : 1;
   }
   std::cerr << kUsage;
@@ -134,13 +134,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  const std::vector<std::string> words(argv + 1, argv + argc);
+  const std::vector<std::string> arguments(argv + 1, argv + argc);
   const std::vector<std::string> remote{"status",       "members", "services", "explain",
                                         "drain-status", "metrics", "zones"};
   for (const std::string& command : remote) {
-    if (!words.empty() && words[0] == command) {
-      return askDaemon(argc - 1, argv + 1);
+    if (!arguments.empty() && arguments[0] == command) {
+      return queryDaemon(argc - 1, argv + 1);
     }
   }
-  return runOffline(words);
+  return runOffline(arguments);
 }
--- a/src/ctl/offline_commands.cc
+++ b/src/ctl/offline_commands.cc
@@ -15,12 +15,12 @@
 namespace {
 
 /// A configuration compiled as a daemon compiles it.
-struct Compiled {
+struct CompiledConfiguration {
   core::ConfigurationVersion version = 0;
   std::vector<core::Service> services;
 };
 
-std::optional<Compiled> compile(const std::string& text, std::string& reason) {
+std::optional<CompiledConfiguration> compile(const std::string& text, std::string& reason) {
   configuration::ConfigurationParser parser;
   const std::optional<core::ConfigurationDocument> document = parser.parse(text);
   if (!document) {
@@ -33,7 +33,7 @@
     reason = compiler.lastReason();
     return std::nullopt;
   }
-  return Compiled{document->version, std::move(*services)};
+  return CompiledConfiguration{document->version, std::move(*services)};
 }
 
 CommandResult failure(const std::string& reason) { return {reason + "\n", false}; }
@@ -71,7 +71,7 @@
   }
 }
 
-const core::Service* findService(const Compiled& compiled, const std::string& name) {
+const core::Service* findService(const CompiledConfiguration& compiled, const std::string& name) {
   for (const core::Service& service : compiled.services) {
     if (service.name == name) {
       return &service;
@@ -91,23 +91,23 @@
 void compareServices(std::ostream& out, const core::Service& before, const core::Service& after) {
   std::ostringstream changes;
   const auto old = backendsByName(before);
-  const auto present = backendsByName(after);
-  for (const auto& [name, backend] : present) {
-    const auto known = old.find(name);
-    if (known == old.end()) {
+  const auto current = backendsByName(after);
+  for (const auto& [name, backend] : current) {
+    const auto previous = old.find(name);
+    if (previous == old.end()) {
       changes << "  + back end " << name << ", weight " << backend->weight << "\n";
-    } else if (known->second->state != backend->state) {
+    } else if (previous->second->state != backend->state) {
       const bool leaves = backend->state == core::BackendState::kLeaving;
       changes << "  ~ back end " << name << (leaves ? " leaves\n" : " is active again\n");
-    } else if (known->second->weight != backend->weight) {
-      changes << "  ~ back end " << name << ", weight " << known->second->weight << " -> "
+    } else if (previous->second->weight != backend->weight) {
+      changes << "  ~ back end " << name << ", weight " << previous->second->weight << " -> "
               << backend->weight << "\n";
-    } else if (!(known->second->address == backend->address)) {
+    } else if (!(previous->second->address == backend->address)) {
       changes << "  ~ back end " << name << " has another address or incarnation\n";
     }
   }
   for (const auto& [name, backend] : old) {
-    if (!present.contains(name)) {
+    if (!current.contains(name)) {
       changes << "  - back end " << name << "\n";
     }
   }
@@ -126,7 +126,7 @@
 
 CommandResult checkConfiguration(const std::string& text) {
   std::string reason;
-  const std::optional<Compiled> compiled = compile(text, reason);
+  const std::optional<CompiledConfiguration> compiled = compile(text, reason);
   if (!compiled) {
     return failure(reason);
   }
@@ -138,7 +138,7 @@
 
 CommandResult testPolicies(const std::string& text) {
   std::string reason;
-  const std::optional<Compiled> compiled = compile(text, reason);
+  const std::optional<CompiledConfiguration> compiled = compile(text, reason);
   if (!compiled) {
     return failure(reason);
   }
@@ -167,31 +167,31 @@
 
 CommandResult compareConfigurations(const std::string& before, const std::string& after) {
   std::string reason;
-  const std::optional<Compiled> old = compile(before, reason);
-  const std::optional<Compiled> present = old ? compile(after, reason) : std::nullopt;
-  if (!present) {
+  const std::optional<CompiledConfiguration> old = compile(before, reason);
+  const std::optional<CompiledConfiguration> current = old ? compile(after, reason) : std::nullopt;
+  if (!current) {
     return failure((old ? "second file: " : "first file: ") + reason);
   }
   std::ostringstream out;
-  out << "version " << old->version << " -> " << present->version << "\n";
-  for (const core::Service& service : present->services) {
-    const core::Service* known = findService(*old, service.name);
-    if (known == nullptr) {
+  out << "version " << old->version << " -> " << current->version << "\n";
+  for (const core::Service& service : current->services) {
+    const core::Service* previous = findService(*old, service.name);
+    if (previous == nullptr) {
       out << "+ service " << service.name << "\n";
     } else {
-      compareServices(out, *known, service);
+      compareServices(out, *previous, service);
     }
   }
   for (const core::Service& service : old->services) {
-    if (findService(*present, service.name) == nullptr) {
+    if (findService(*current, service.name) == nullptr) {
       out << "- service " << service.name << "\n";
     }
   }
-  const bool rises = present->version > old->version;
-  if (!rises) {
+  const bool isNewer = current->version > old->version;
+  if (!isNewer) {
     out << "warning: the version does not rise; daemons will refuse the second file\n";
   }
-  return {out.str(), rises};
+  return {out.str(), isNewer};
 }
 
 }  // namespace cobaltgauge::ctl
--- a/src/daemon/metrics.cc
+++ b/src/daemon/metrics.cc
@@ -74,7 +74,7 @@
        MetricType::Counter,
        [](const MetricSources& s) { return single(s.peers.counters().bytesReceived); }},
       {"cobaltgauge_peer_refused_total", "Peer datagrams refused", "reason", MetricType::Counter,
-       [](const MetricSources& s) { return byError(s.peers.counters().refused); }},
+       [](const MetricSources& s) { return byError(s.peers.counters().rejected); }},
       {"cobaltgauge_peer_send_errors_total", "Peer messages that could not be sent", nullptr,
        MetricType::Counter,
        [](const MetricSources& s) { return single(s.peers.counters().sendErrors); }},
--- a/src/daemon/packet_port.cc
+++ b/src/daemon/packet_port.cc
@@ -81,12 +81,12 @@
   const net::ByteView packet = datagram.subspan(format_.prefixBytes());
   const std::optional<core::PacketSummary> summary = format_.read(packet);
   if (!summary) {
-    ++counters_.faults[static_cast<std::size_t>(format_.lastFault())];
+    ++counters_.faults[static_cast<std::size_t>(format_.lastError())];
     return;
   }
   const core::Verdict verdict = steering_.onPacket(*summary, now);
   if (const auto* forward = std::get_if<core::ForwardToBackend>(&verdict)) {
-    format_.stamp(*forward, datagram);
+    format_.prepareForward(*forward, datagram);
     counters_.sentToBackends += send(forward->backend.endpoint, datagram) ? 1U : 0U;
   } else if (std::holds_alternative<core::Refuse>(verdict)) {
     refuse(summary->flow, summary->acknowledgement);
@@ -119,7 +119,7 @@
 
 void PacketPort::refuse(const core::FlowKey& flow, std::uint32_t acknowledgement) {
   const std::vector<std::uint8_t> refusal = format_.refusal(flow, acknowledgement);
-  counters_.refusalsSent += send(format_.callerEndpoint(flow, local_), refusal) ? 1U : 0U;
+  counters_.refusalsSent += send(format_.clientEndpoint(flow, local_), refusal) ? 1U : 0U;
 }
 
 bool PacketPort::send(const core::Endpoint& destination, net::ByteView bytes) {
--- a/src/daemon/packet_port.h
+++ b/src/daemon/packet_port.h
@@ -22,7 +22,7 @@
   std::uint64_t refusalsSent = 0;
   std::uint64_t sendErrors = 0;
   std::uint64_t retried = 0;  ///< Packets decided again after the view changed.
-  std::array<std::uint64_t, net::kPacketFaults> faults{};
+  std::array<std::uint64_t, net::kPacketFormatErrorCount> faults{};
 };
 
 class PacketPort {
--- a/src/daemon/store_link.cc
+++ b/src/daemon/store_link.cc
@@ -5,7 +5,8 @@
 namespace cobaltgauge::daemon {
 
 StoreLink::StoreLink(asio::io_context& context, const core::Endpoint& store,
-                     const net::StoreDialect& dialect, core::StoreReader& reader, Listener listener)
+                     const net::StoreProtocol& dialect, core::StoreReader& reader,
+                     Listener listener)
     : dialect_(dialect),
       reader_(reader),
       listener_(std::move(listener)),
@@ -31,7 +32,7 @@
   }
   const auto timeout = std::chrono::duration_cast<std::chrono::milliseconds>(read->timeout);
   client_.get(dialect_.target(*read), timeout,
-              [this, request = *read, now](const net::HttpAnswer& answer) {
+              [this, request = *read, now](const net::HttpResult& answer) {
                 onAnswer(request, now, answer);
               });
 }
@@ -44,7 +45,7 @@
 }
 
 void StoreLink::onAnswer(const core::StoreRead& read, core::Time sentAt,
-                         const net::HttpAnswer& answer) {
+                         const net::HttpResult& answer) {
   const core::Time now = bootTime();
   core::StoreReply reply = toReply(answer);
   reply.outcome = reader_.onReply(reply, now);
@@ -52,7 +53,7 @@
   start();
 }
 
-core::StoreReply StoreLink::toReply(const net::HttpAnswer& answer) const {
+core::StoreReply StoreLink::toReply(const net::HttpResult& answer) const {
   core::StoreReply reply;
   reply.reason = answer.reason;
   switch (answer.failure) {
--- a/src/daemon/store_link.h
+++ b/src/daemon/store_link.h
@@ -9,7 +9,7 @@
 
 #include "core/store_reader.h"
 #include "net/http_client.h"
-#include "net/store_dialect.h"
+#include "net/store_protocol.h"
 
 namespace cobaltgauge::daemon {
 
@@ -20,7 +20,7 @@
       std::function<void(const core::StoreRead&, const core::StoreReply&, core::Duration latency)>;
 
   StoreLink(asio::io_context& context, const core::Endpoint& store,
-            const net::StoreDialect& dialect, core::StoreReader& reader, Listener listener);
+            const net::StoreProtocol& dialect, core::StoreReader& reader, Listener listener);
 
   /// Makes the read that is due; to be called at start and when the reader became active. Later
   /// ones follow by themselves while it is.
@@ -31,10 +31,10 @@
   void restart();
 
  private:
-  void onAnswer(const core::StoreRead& read, core::Time sentAt, const net::HttpAnswer& answer);
-  core::StoreReply toReply(const net::HttpAnswer& answer) const;
+  void onAnswer(const core::StoreRead& read, core::Time sentAt, const net::HttpResult& answer);
+  core::StoreReply toReply(const net::HttpResult& answer) const;
 
-  const net::StoreDialect& dialect_;
+  const net::StoreProtocol& dialect_;
   core::StoreReader& reader_;
   Listener listener_;
   net::HttpClient client_;
--- a/src/daemon/token_daemon.cc
+++ b/src/daemon/token_daemon.cc
@@ -60,7 +60,7 @@
 TokenDaemon::TokenDaemon(Settings settings, CommandLine commandLine)
     : settings_(std::move(settings)),
       settingsWatch_(std::move(commandLine)),
-      formats_(net::makeEdgeFormats()),
+      formats_(net::makePlatformFormats()),
       weights_(settings_.zone),
       admission_(settings_.admission),
       steering_(steeringOptions(settings_), weights_, random_),
--- a/src/daemon/token_daemon.h
+++ b/src/daemon/token_daemon.h
@@ -25,7 +25,7 @@
 #include "daemon/system_random.h"
 #include "daemon/token_metrics.h"
 #include "net/http_server.h"
-#include "net/store_dialect.h"
+#include "net/store_protocol.h"
 
 namespace cobaltgauge::daemon {
 
@@ -72,7 +72,7 @@
   SettingsWatch settingsWatch_;
   asio::io_context context_;
   SystemRandom random_;
-  net::EdgeFormats formats_;
+  net::PlatformFormats formats_;
   PolicyWeights weights_;
   core::PriorityAdmission admission_;
   core::TokenSteering steering_;
--- a/src/daemon/token_metrics.cc
+++ b/src/daemon/token_metrics.cc
@@ -18,9 +18,10 @@
 /// @return kinds of message that were sent at all.
 std::vector<MetricSample> messageBytes(const net::PeerTransportCounters& counters) {
   std::vector<MetricSample> samples;
-  for (std::size_t kind = 0; kind < counters.bytesSentOf.size(); ++kind) {
-    if (counters.bytesSentOf[kind] != 0) {
-      samples.push_back({net::frameName(kind), static_cast<double>(counters.bytesSentOf[kind])});
+  for (std::size_t kind = 0; kind < counters.bytesSentByType.size(); ++kind) {
+    if (counters.bytesSentByType[kind] != 0) {
+      samples.push_back(
+          {net::frameName(kind), static_cast<double>(counters.bytesSentByType[kind])});
     }
   }
   return samples;
@@ -80,7 +81,9 @@
        }},
       {"cobaltgauge_packet_faults_total", "Datagrams that are no packet of the format", "reason",
        MetricType::Counter,
-       [](const Sources& s) { return byReason<net::PacketFault>(s.packets.counters().faults); }},
+       [](const Sources& s) {
+         return byReason<net::PacketFormatError>(s.packets.counters().faults);
+       }},
       {"cobaltgauge_packets_retried_total", "Packets decided again after the view had changed",
        nullptr, MetricType::Counter,
        [](const Sources& s) { return single(s.packets.counters().retried); }},
@@ -267,7 +270,7 @@
       {"cobaltgauge_peer_streams_given_up_total",
        "Connections between daemons that did not carry their message in time", nullptr,
        MetricType::Counter,
-       [](const Sources& s) { return single(s.peers.GetTransportCounters().streamsGivenUp); }},
+       [](const Sources& s) { return single(s.peers.GetTransportCounters().streamsTimedOut); }},
       {"cobaltgauge_peer_bytes_sent_total", "Bytes sent to other daemons", nullptr,
        MetricType::Counter,
        [](const Sources& s) { return single(s.peers.GetTransportCounters().bytesSent); }},
--- a/src/net/geneve.cc
+++ b/src/net/geneve.cc
@@ -5,7 +5,7 @@
 namespace cobaltgauge::net {
 namespace {
 
-constexpr std::size_t kWord = 4;
+constexpr std::size_t kWordBytes = 4;
 constexpr std::uint8_t kControlBit = 0x80;
 constexpr std::uint8_t kCriticalHeaderBit = 0x40;
 constexpr std::uint8_t kCriticalTypeBit = 0x80;
@@ -26,7 +26,7 @@
 
 void writeHeader(std::uint8_t* out, std::uint32_t vni, std::uint16_t protocolType,
                  std::size_t optionBytes, bool critical) {
-  out[0] = static_cast<std::uint8_t>(optionBytes / kWord);
+  out[0] = static_cast<std::uint8_t>(optionBytes / kWordBytes);
   out[1] = critical ? kCriticalHeaderBit : 0;
   writeBigEndian(out + 2, protocolType, 2);
   writeBigEndian(out + 4, vni, 3);
@@ -70,7 +70,7 @@
   if ((datagram[1] & kControlBit) != 0) {
     return fail(GeneveError::kControlPacket);
   }
-  const std::size_t optionBytes = (datagram[0] & 0x3fU) * kWord;
+  const std::size_t optionBytes = (datagram[0] & 0x3fU) * kWordBytes;
   if (datagram.size() < kGeneveHeaderBytes + optionBytes) {
     return fail(GeneveError::kShort);
   }
@@ -90,15 +90,15 @@
 
 bool GeneveDecoder::decodeOptions(ByteView options, GenevePacket& packet) {
   while (!options.empty()) {
-    const std::size_t dataBytes = (options[3] & 0x1fU) * kWord;
-    if (options.size() < kWord + dataBytes) {
+    const std::size_t dataBytes = (options[3] & 0x1fU) * kWordBytes;
+    if (options.size() < kWordBytes + dataBytes) {
       lastError_ = GeneveError::kMalformedOption;
       return false;
     }
     const auto optionClass = static_cast<std::uint16_t>(readBigEndian(options, 0, 2));
     const std::uint8_t type = options[2];
     if (optionClass == kOptionClass && type == kRoutingOptionType) {
-      if (dataBytes != kRoutingOptionBytes - kWord) {
+      if (dataBytes != kRoutingOptionBytes - kWordBytes) {
         lastError_ = GeneveError::kMalformedOption;
         return false;
       }
@@ -109,7 +109,7 @@
       lastError_ = GeneveError::kUnknownCritical;
       return false;
     }
-    options = options.subspan(kWord + dataBytes);
+    options = options.subspan(kWordBytes + dataBytes);
   }
   return true;
 }
@@ -129,7 +129,7 @@
   std::uint8_t* option = header.data() + kGeneveHeaderBytes;
   writeBigEndian(option, kOptionClass, 2);
   option[2] = kRoutingOptionType;
-  option[3] = (kRoutingOptionBytes - kWord) / kWord;
+  option[3] = (kRoutingOptionBytes - kWordBytes) / kWordBytes;
   writeBigEndian(option + 4, static_cast<std::uint32_t>(routing.service), 4);
   writeBigEndian(option + 8, routing.incarnation, 4);
   writeBigEndian(option + 12, routing.version, 8);
--- a/src/net/http_client.cc
+++ b/src/net/http_client.cc
@@ -26,11 +26,11 @@
 constexpr auto kConnectTimeout = std::chrono::milliseconds(200);
 /// No answer takes longer than this, however steadily it arrives. A megabyte takes 1.2 s on a small
 /// machine's link.
-constexpr auto kLongestAnswer = std::chrono::seconds(5);
+constexpr auto kMaxResponseDuration = std::chrono::seconds(5);
 /// A connection without sign of life for kKeepIdle + kKeepCount x kKeepInterval is dead.
-constexpr int kKeepIdleSeconds = 1;
-constexpr int kKeepIntervalSeconds = 1;
-constexpr int kKeepCount = 2;
+constexpr int kKeepAliveIdleSeconds = 1;
+constexpr int kKeepAliveIntervalSeconds = 1;
+constexpr int kKeepAliveProbeCount = 2;
 constexpr int kUserTimeoutMilliseconds = 3000;
 
 void setOption(asio::ip::tcp::socket& socket, int level, int name, int value) {
@@ -65,7 +65,7 @@
     handler_ = std::move(handler);
     onProgress_ = std::move(onProgress);
     request_ = "GET " + target + " HTTP/1.1\r\nHost: " + host_ + "\r\n\r\n";
-    answer_ = HttpAnswer{};
+    result_ = HttpResult{};
     headerName_.clear();
     inHeaderValue_ = false;
     complete_ = false;
@@ -90,7 +90,7 @@
   }
 
  private:
-  void expireAfter(std::chrono::milliseconds time, const char* reason) {
+  void setTimeout(std::chrono::milliseconds time, const char* reason) {
     timer_.expires_after(time);
     timer_.async_wait([self = shared_from_this(), reason](const asio::error_code& error) {
       if (!error) {
@@ -104,13 +104,14 @@
     if (std::exchange(inHeaderValue_, false)) {
       headerName_.clear();
     }
-    std::transform(data, data + size, std::back_inserter(headerName_),
-                   [](unsigned char sign) { return static_cast<char>(std::tolower(sign)); });
+    std::transform(data, data + size, std::back_inserter(headerName_), [](unsigned char character) {
+      return static_cast<char>(std::tolower(character));
+    });
     return 0;
   }
 
   int onHeaderValue(const char* data, std::size_t size) {
-    std::string& value = answer_.headers[headerName_];
+    std::string& value = result_.headers[headerName_];
     if (!std::exchange(inHeaderValue_, true)) {
       value.clear();
     }
@@ -119,12 +120,12 @@
   }
 
   int onBody(const char* data, std::size_t size) {
-    answer_.body.append(data, size);
-    return answer_.body.size() > kMaxBodyBytes ? 1 : 0;
+    result_.body.append(data, size);
+    return result_.body.size() > kMaxBodyBytes ? 1 : 0;
   }
 
   void connect() {
-    expireAfter(std::min<std::chrono::milliseconds>(timeout_, kConnectTimeout), "no connection");
+    setTimeout(std::min<std::chrono::milliseconds>(timeout_, kConnectTimeout), "no connection");
     asio::error_code error;
     socket_.open(server_.protocol(), error);
     if (error) {
@@ -135,9 +136,9 @@
     }
     setOption(socket_, IPPROTO_TCP, TCP_NODELAY, 1);
     setOption(socket_, SOL_SOCKET, SO_KEEPALIVE, 1);
-    setOption(socket_, IPPROTO_TCP, TCP_KEEPIDLE, kKeepIdleSeconds);
-    setOption(socket_, IPPROTO_TCP, TCP_KEEPINTVL, kKeepIntervalSeconds);
-    setOption(socket_, IPPROTO_TCP, TCP_KEEPCNT, kKeepCount);
+    setOption(socket_, IPPROTO_TCP, TCP_KEEPIDLE, kKeepAliveIdleSeconds);
+    setOption(socket_, IPPROTO_TCP, TCP_KEEPINTVL, kKeepAliveIntervalSeconds);
+    setOption(socket_, IPPROTO_TCP, TCP_KEEPCNT, kKeepAliveProbeCount);
     setOption(socket_, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMilliseconds);
     socket_.async_connect(server_, [self = shared_from_this()](const asio::error_code& failure) {
       if (failure) {
@@ -150,8 +151,8 @@
   }
 
   void send() {
-    deadline_ = asio::steady_timer::clock_type::now() + timeout_ + kLongestAnswer;
-    expireAfter(timeout_, "no answer in time");
+    deadline_ = asio::steady_timer::clock_type::now() + timeout_ + kMaxResponseDuration;
+    setTimeout(timeout_, "no answer in time");
     asio::async_write(socket_, asio::buffer(request_),
                       [self = shared_from_this()](const asio::error_code& error, std::size_t) {
                         if (error) {
@@ -178,7 +179,7 @@
     const std::size_t length = error ? 0 : size;
     const std::size_t parsed = http_parser_execute(&parser_, &settings_, buffer_.data(), length);
     if (complete_) {
-      answer_.status = parser_.status_code;
+      result_.status = parser_.status_code;
       connected_ = !error && http_should_keep_alive(&parser_) != 0;
       finish(HttpFailure::kNone, "");
     } else if (error) {
@@ -186,14 +187,14 @@
     } else if (parsed != length || HTTP_PARSER_ERRNO(&parser_) != HPE_OK) {
       finish(HttpFailure::kMalformed, http_errno_description(HTTP_PARSER_ERRNO(&parser_)));
     } else {
-      noteProgress();
+      onProgress();
       receive();
     }
   }
 
-  void noteProgress() {
+  void onProgress() {
     if (asio::steady_timer::clock_type::now() < deadline_) {
-      expireAfter(timeout_, "the answer stopped half way");
+      setTimeout(timeout_, "the answer stopped half way");
     }
     if (onProgress_) {
       onProgress_();
@@ -206,13 +207,13 @@
     }
     Handler handler = std::exchange(handler_, nullptr);
     timer_.cancel();
-    answer_.failure = failure;
-    answer_.reason = std::move(reason);
+    result_.failure = failure;
+    result_.reason = std::move(reason);
     if (failure != HttpFailure::kNone || !connected_) {
       close();
     }
-    const HttpAnswer answer = std::move(answer_);
-    handler(answer);
+    const HttpResult result = std::move(result_);
+    handler(result);
   }
 
   asio::ip::tcp::endpoint server_;
@@ -225,7 +226,7 @@
   asio::steady_timer::time_point deadline_;
   std::function<void()> onProgress_;
   Handler handler_;
-  HttpAnswer answer_;
+  HttpResult result_;
   std::string headerName_;  ///< Of the header that arrives.
   bool inHeaderValue_ = false;
   http_parser parser_{};
--- a/src/net/http_client.h
+++ b/src/net/http_client.h
@@ -11,13 +11,13 @@
 #include <string>
 
 #include "core/types.h"
-#include "net/http_answer.h"
+#include "net/http_result.h"
 
 namespace cobaltgauge::net {
 
 class HttpClient {
  public:
-  using Handler = std::function<void(const HttpAnswer&)>;
+  using Handler = std::function<void(const HttpResult&)>;
 
   HttpClient(asio::io_context& context, const core::Endpoint& server);
   ~HttpClient();
--- a/src/net/http_answer.h
+++ b/src/net/http_result.h
@@ -12,7 +12,7 @@
 enum class HttpFailure : std::uint8_t { kNone, kTimedOut, kConnectionLost, kMalformed };
 
 /// What a request gave; the other fields count only without failure.
-struct HttpAnswer {
+struct HttpResult {
   HttpFailure failure = HttpFailure::kNone;
   int status = 0;
   std::map<std::string, std::string> headers =
--- a/src/net/http_server.cc
+++ b/src/net/http_server.cc
@@ -45,7 +45,7 @@
 }  // namespace
 
 struct HttpServer::Shared {
-  Answer answer;
+  Handler handler;
   int connections = 0;
   bool closed = false;
 };
@@ -111,7 +111,7 @@
     const bool keepAlive = http_should_keep_alive(&parser_) != 0;
     const std::string path = target_.substr(0, target_.find('?'));
     const HttpResponse response = parser_.method == HTTP_GET
-                                      ? shared_->answer(path)
+                                      ? shared_->handler(path)
                                       : HttpResponse{kMethodNotAllowed, "text/plain", "GET only\n"};
     output_ = render(response, keepAlive);
     asio::async_write(
@@ -151,9 +151,9 @@
   bool complete_ = false;
 };
 
-HttpServer::HttpServer(asio::io_context& context, Answer answer)
+HttpServer::HttpServer(asio::io_context& context, Handler handler)
     : acceptor_(context), shared_(std::make_shared<Shared>()) {
-  shared_->answer = std::move(answer);
+  shared_->handler = std::move(handler);
 }
 
 HttpServer::~HttpServer() { shared_->closed = true; }
--- a/src/net/http_server.h
+++ b/src/net/http_server.h
@@ -13,7 +13,7 @@
 
 namespace cobaltgauge::net {
 
-/// One answer.
+/// One handler.
 struct HttpResponse {
   int status = 200;
   std::string contentType = "text/plain";
@@ -22,10 +22,10 @@
 
 class HttpServer {
  public:
-  /// @param answer called with the path of each GET, without its query.
-  using Answer = std::function<HttpResponse(const std::string& path)>;
+  /// @param handler called with the path of each GET, without its query.
+  using Handler = std::function<HttpResponse(const std::string& path)>;
 
-  HttpServer(asio::io_context& context, Answer answer);
+  HttpServer(asio::io_context& context, Handler handler);
   ~HttpServer();
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
--- a/src/net/inner_packet.cc
+++ b/src/net/inner_packet.cc
@@ -190,12 +190,12 @@
   if (!parsed || parsed->tcp == nullptr) {
     return std::nullopt;
   }
-  const core::FlowKey answer = reversed(parsed->flow);
-  Tins::TCP reset(answer.destination.port, answer.source.port);
+  const core::FlowKey replyFlow = reversed(parsed->flow);
+  Tins::TCP reset(replyFlow.destination.port, replyFlow.source.port);
   reset.flags(Tins::TCP::RST | Tins::TCP::ACK);
   reset.seq(0);
   reset.ack_seq(parsed->tcp->seq() + 1);
-  return wrapInIp(answer, reset);
+  return wrapInIp(replyFlow, reset);
 }
 
 }  // namespace cobaltgauge::net
--- a/src/net/packed_backends.cc
+++ b/src/net/packed_backends.cc
@@ -16,11 +16,11 @@
 
   std::uint32_t indexOf(const std::string& name) {
     const auto next = static_cast<std::uint32_t>(names_.size());
-    const auto [known, isNew] = indices_.try_emplace(name, next);
+    const auto [entry, isNew] = indices_.try_emplace(name, next);
     if (isNew) {
       names_.push_back(name);
     }
-    return known->second;
+    return entry->second;
   }
 
  private:
@@ -28,7 +28,7 @@
   std::map<std::string, std::uint32_t> indices_;
 };
 
-std::string sharedPrefix(const std::vector<core::ViewBackend>& backends) {
+std::string commonPrefix(const std::vector<core::ViewBackend>& backends) {
   if (backends.empty()) {
     return "";
   }
@@ -59,8 +59,8 @@
 std::uint64_t numberOf(core::StoreEra era) { return static_cast<std::uint64_t>(era); }
 
 core::Revision revisionOf(const PackedBackends& packed, const PackedBackend& item) {
-  const core::StoreEra era{numberOf(packed.lowestEra) + item.erasAboveLowest};
-  return {era, packed.lowest + item.aboveLowest};
+  const core::StoreEra era{numberOf(packed.baseEra) + item.eraOffset};
+  return {era, packed.baseRevision + item.revisionOffset};
 }
 
 }  // namespace
@@ -68,20 +68,20 @@
 PackedBackends packBackends(const std::vector<core::ViewBackend>& backends) {
   PackedBackends packed;
   NameTable names(packed.names);
-  packed.keyPrefix = sharedPrefix(backends);
+  packed.keyPrefix = commonPrefix(backends);
   if (!backends.empty()) {
-    packed.lowestEra = backends.front().revision.era;
-    packed.lowest = backends.front().revision.number;
+    packed.baseEra = backends.front().revision.era;
+    packed.baseRevision = backends.front().revision.number;
   }
   for (const core::ViewBackend& backend : backends) {
-    packed.lowestEra = std::min(packed.lowestEra, backend.revision.era);
-    packed.lowest = std::min(packed.lowest, backend.revision.number);
+    packed.baseEra = std::min(packed.baseEra, backend.revision.era);
+    packed.baseRevision = std::min(packed.baseRevision, backend.revision.number);
   }
   for (const core::ViewBackend& backend : backends) {
     packed.backends.push_back(
         {backend.key.substr(packed.keyPrefix.size()), backend.id,
-         numberOf(backend.revision.era) - numberOf(packed.lowestEra),
-         backend.revision.number - packed.lowest, packAddress(backend.endpoint.address),
+         numberOf(backend.revision.era) - numberOf(packed.baseEra),
+         backend.revision.number - packed.baseRevision, packAddress(backend.endpoint.address),
          backend.endpoint.port, names.indexOf(backend.service), names.indexOf(backend.zone),
          names.indexOf(backend.softwareVersion), backend.capacity, backend.leaving,
          backend.warmUpLeftMs, backend.startedAtMs, backend.statement});
@@ -93,11 +93,11 @@
   std::vector<core::ViewBackend> backends;
   for (const PackedBackend& item : packed.backends) {
     const std::optional<core::IpAddress> address = unpackAddress(item.address);
-    const std::uint32_t highest = std::max({item.service, item.zone, item.softwareVersion});
-    if (!address || highest >= packed.names.size()) {
+    const std::uint32_t maxIndex = std::max({item.service, item.zone, item.softwareVersion});
+    if (!address || maxIndex >= packed.names.size()) {
       return std::nullopt;
     }
-    backends.push_back({packed.keyPrefix + item.keyEnd, revisionOf(packed, item), item.id,
+    backends.push_back({packed.keyPrefix + item.keySuffix, revisionOf(packed, item), item.id,
                         packed.names[item.service], core::Endpoint{*address, item.port},
                         packed.names[item.zone], packed.names[item.softwareVersion], item.capacity,
                         item.leaving, item.warmUpLeftMs, item.startedAtMs, item.statement});
--- a/src/net/packed_backends.h
+++ b/src/net/packed_backends.h
@@ -14,10 +14,10 @@
 namespace cobaltgauge::net {
 
 struct PackedBackend {
-  std::string keyEnd;  ///< What follows the shared prefix.
+  std::string keySuffix;  ///< What follows the shared prefix.
   core::BackendId id = core::kNoBackend;
-  std::uint64_t erasAboveLowest = 0;
-  std::uint64_t aboveLowest = 0;      ///< The revision within its era.
+  std::uint64_t eraOffset = 0;
+  std::uint64_t revisionOffset = 0;   ///< The revision within its era.
   std::vector<std::uint8_t> address;  ///< In network order.
   std::uint16_t port = 0;
   std::uint32_t service = 0;  ///< Index into the names, as the two that follow.
@@ -32,8 +32,8 @@
 
 struct PackedBackends {
   std::string keyPrefix;
-  core::StoreEra lowestEra{0};
-  std::uint64_t lowest = 0;
+  core::StoreEra baseEra{0};
+  std::uint64_t baseRevision = 0;
   std::vector<std::string> names;
   std::vector<PackedBackend> backends;
 };
--- a/src/net/packet_format.cc
+++ b/src/net/packet_format.cc
@@ -2,17 +2,17 @@
 
 namespace cobaltgauge::net {
 
-const char* toString(PacketFault fault) {
-  switch (fault) {
-    case PacketFault::kNone:
+const char* toString(PacketFormatError error) {
+  switch (error) {
+    case PacketFormatError::kNone:
       return "none";
-    case PacketFault::kShort:
+    case PacketFormatError::kShort:
       return "short";
-    case PacketFault::kLong:
+    case PacketFormatError::kLong:
       return "long";
-    case PacketFault::kWrongLength:
+    case PacketFormatError::kWrongLength:
       return "wrong_length";
-    case PacketFault::kUnknownFlag:
+    case PacketFormatError::kUnknownFlag:
       return "unknown_flag";
   }
   return "invalid";
--- a/src/net/peer_fields.h
+++ b/src/net/peer_fields.h
@@ -85,12 +85,12 @@
   return std::tie(m.replyTo, m.have, m.viewRequested);
 }
 auto fieldsOf(IsMessage<PackedBackend> auto& m) {
-  return std::tie(m.keyEnd, m.id, m.erasAboveLowest, m.aboveLowest, m.address, m.port, m.service,
+  return std::tie(m.keySuffix, m.id, m.eraOffset, m.revisionOffset, m.address, m.port, m.service,
                   m.zone, m.softwareVersion, m.capacity, m.leaving, m.warmUpLeftMs, m.startedAtMs,
                   m.statement);
 }
 auto fieldsOf(IsMessage<PackedBackends> auto& m) {
-  return std::tie(m.keyPrefix, m.lowestEra, m.lowest, m.names, m.backends);
+  return std::tie(m.keyPrefix, m.baseEra, m.baseRevision, m.names, m.backends);
 }
 auto fieldsOf(IsMessage<core::ViewRoute> auto& m) {
   return std::tie(m.name, m.endpoint, m.services, m.weights, m.kind, m.latencyGoalMs, m.timeoutMs,
--- a/src/net/peer_transport.cc
+++ b/src/net/peer_transport.cc
@@ -17,7 +17,7 @@
 constexpr std::size_t kLengthBytes = 4;
 constexpr int kSocketBufferBytes = 4 << 20;
 /// A TCP listener must share the UDP port; a free pair is searched this often.
-constexpr int kBindTries = 16;
+constexpr int kMaxBindAttempts = 16;
 
 std::uint32_t readLength(const std::array<std::uint8_t, kLengthBytes>& bytes) {
   std::uint32_t length = 0;
@@ -38,24 +38,24 @@
 }  // namespace
 
 /// One connection that ends after a bound, since it may go silent without a word.
-class PeerTransport::BoundedStream : public std::enable_shared_from_this<BoundedStream> {
+class PeerTransport::TimedStream : public std::enable_shared_from_this<TimedStream> {
  public:
-  BoundedStream(asio::ip::tcp::socket socket, PeerTransport& owner)
+  TimedStream(asio::ip::tcp::socket socket, PeerTransport& owner)
       : socket_(std::move(socket)), owner_(owner), timer_(socket_.get_executor()) {}
 
  protected:
   /// Closes the connection after the bound, which ends what waits on it.
-  void begin() {
-    timer_.expires_after(owner_.longestStream_);
+  void startTimer() {
+    timer_.expires_after(owner_.streamTimeout_);
     timer_.async_wait([self = shared_from_this()](const asio::error_code& error) {
       if (!error) {
-        ++self->owner_.counters_.streamsGivenUp;
+        ++self->owner_.counters_.streamsTimedOut;
         asio::error_code ignored;
         self->socket_.close(ignored);
       }
     });
   }
-  void finish() { timer_.cancel(); }
+  void cancelTimer() { timer_.cancel(); }
 
   asio::ip::tcp::socket socket_;
   PeerTransport& owner_;
@@ -65,16 +65,16 @@
 };
 
 /// Reads one length-prefixed frame from an accepted connection.
-class PeerTransport::InboundStream : public BoundedStream {
+class PeerTransport::InboundStream : public TimedStream {
  public:
-  using BoundedStream::BoundedStream;
+  using TimedStream::TimedStream;
 
   void start() {
-    begin();
+    startTimer();
     asio::async_read(socket_, asio::buffer(length_),
                      [this, self = shared_from_this()](const asio::error_code& error, std::size_t) {
                        if (error) {
-                         finish();
+                         cancelTimer();
                          return;
                        }
                        readBody();
@@ -85,14 +85,14 @@
   void readBody() {
     const std::uint32_t length = readLength(length_);
     if (length > kMaxStreamBytes) {
-      ++owner_.counters_.refused[PeerCodecError::kMalformed];
-      finish();
+      ++owner_.counters_.rejected[PeerCodecError::kMalformed];
+      cancelTimer();
       return;
     }
     body_.resize(length);
     asio::async_read(socket_, asio::buffer(body_),
                      [this, self = shared_from_this()](const asio::error_code& error, std::size_t) {
-                       finish();
+                       cancelTimer();
                        if (!error) {
                          owner_.deliver(body_);
                        }
@@ -104,20 +104,20 @@
 };
 
 /// Carries one frame to a peer.
-class PeerTransport::OutboundStream : public BoundedStream {
+class PeerTransport::OutboundStream : public TimedStream {
  public:
   OutboundStream(asio::io_context& context, std::vector<std::uint8_t> bytes, PeerTransport& owner)
-      : BoundedStream(asio::ip::tcp::socket(context), owner), bytes_(std::move(bytes)) {
+      : TimedStream(asio::ip::tcp::socket(context), owner), bytes_(std::move(bytes)) {
     const auto length = writeLength(bytes_.size());
     bytes_.insert(bytes_.begin(), length.begin(), length.end());
   }
 
   void start(const core::Endpoint& destination) {
-    begin();
+    startTimer();
     socket_.async_connect(toTcp(destination),
                           [this, self = shared_from_this()](const asio::error_code& error) {
                             if (error) {
-                              end(error);
+                              complete(error);
                               return;
                             }
                             write();
@@ -128,12 +128,12 @@
   void write() {
     asio::async_write(socket_, asio::buffer(bytes_),
                       [this, self = shared_from_this()](const asio::error_code& error,
-                                                        std::size_t) { end(error); });
+                                                        std::size_t) { complete(error); });
   }
 
-  void end(const asio::error_code& error) {
+  void complete(const asio::error_code& error) {
     owner_.counters_.sendErrors += error ? 1U : 0U;
-    finish();
+    cancelTimer();
   }
 
   std::vector<std::uint8_t> bytes_;
@@ -149,8 +149,8 @@
 
 bool PeerTransport::open(const core::Endpoint& endpoint) {
   asio::error_code error;
-  const int tries = endpoint.port == 0 ? kBindTries : 1;
-  for (int attempt = 0; attempt < tries; ++attempt) {
+  const int maxAttempts = endpoint.port == 0 ? kMaxBindAttempts : 1;
+  for (int attempt = 0; attempt < maxAttempts; ++attempt) {
     asio::error_code ignored;
     socket_.close(ignored);
     acceptor_.close(ignored);
@@ -218,7 +218,7 @@
   counters_.bytesReceived += bytes.size();
   std::optional<ReceivedFrame> received = codec_.decode(bytes);
   if (!received) {
-    ++counters_.refused[codec_.lastError()];
+    ++counters_.rejected[codec_.lastError()];
     return;
   }
   handler_(std::move(*received));
@@ -231,17 +231,17 @@
 void PeerTransport::send(const std::vector<core::Endpoint>& destinations, const PeerFrame& frame) {
   const std::vector<std::uint8_t> bytes = codec_.encode(frame);
   // A forwarded packet is data and must not wait for a connection, whatever its length.
-  const bool isData = std::holds_alternative<ForwardedPacket>(frame);
-  counters_.bytesSentOf[frame.index()] += bytes.size() * destinations.size();
+  const bool isDataPacket = std::holds_alternative<ForwardedPacket>(frame);
+  counters_.bytesSentByType[frame.index()] += bytes.size() * destinations.size();
   for (const core::Endpoint& destination : destinations) {
-    sendBytes(destination, bytes, isData);
+    sendBytes(destination, bytes, isDataPacket);
   }
 }
 
 void PeerTransport::sendBytes(const core::Endpoint& destination,
-                              const std::vector<std::uint8_t>& bytes, bool isData) {
+                              const std::vector<std::uint8_t>& bytes, bool isDataPacket) {
   counters_.bytesSent += bytes.size();
-  if (bytes.size() > kMaxDatagramBytes && !isData) {
+  if (bytes.size() > kMaxDatagramBytes && !isDataPacket) {
     sendStream(destination, bytes);
     return;
   }
--- a/src/net/peer_transport.h
+++ b/src/net/peer_transport.h
@@ -19,7 +19,7 @@
 
 /// A connection that has not carried its frame after this long never will: a frame of 3 MB takes as
 /// long on a link of 10 Mbit/s, and its receiver has asked others by then.
-inline constexpr std::chrono::milliseconds kLongestStream{3000};
+inline constexpr std::chrono::milliseconds kStreamTimeout{3000};
 
 /// Counters of a PeerTransport; bytes include the authenticator, not UDP/IP headers.
 struct PeerTransportCounters {
@@ -28,10 +28,10 @@
   std::uint64_t bytesSent = 0;
   std::uint64_t bytesReceived = 0;
   std::uint64_t sendErrors = 0;
-  std::uint64_t streamsGivenUp = 0;  ///< Not through within the bound, either way.
-  std::map<PeerCodecError, std::uint64_t> refused;
+  std::uint64_t streamsTimedOut = 0;  ///< Not through within the bound, either way.
+  std::map<PeerCodecError, std::uint64_t> rejected;
   /// Bytes sent, by the place of the message in PeerFrame.
-  std::array<std::uint64_t, std::variant_size_v<PeerFrame>> bytesSentOf{};
+  std::array<std::uint64_t, std::variant_size_v<PeerFrame>> bytesSentByType{};
 };
 
 class PeerTransport {
@@ -52,19 +52,19 @@
   void close();
 
   /// Sets how long a connection may take for its frame.
-  void setLongestStream(std::chrono::milliseconds longest) { longestStream_ = longest; }
+  void setStreamTimeout(std::chrono::milliseconds longest) { streamTimeout_ = longest; }
 
   const PeerTransportCounters& counters() const { return counters_; }
 
  private:
-  class BoundedStream;
+  class TimedStream;
   class InboundStream;
   class OutboundStream;
 
   void receiveDatagram();
   void acceptStream();
   void sendBytes(const core::Endpoint& destination, const std::vector<std::uint8_t>& bytes,
-                 bool isData);
+                 bool isDataPacket);
   void sendStream(const core::Endpoint& destination, std::vector<std::uint8_t> bytes);
   void deliver(ByteView bytes);
 
@@ -75,7 +75,7 @@
   asio::ip::tcp::acceptor acceptor_;
   asio::ip::udp::endpoint sender_;
   std::vector<std::uint8_t> buffer_;
-  std::chrono::milliseconds longestStream_ = kLongestStream;
+  std::chrono::milliseconds streamTimeout_ = kStreamTimeout;
   std::string lastReason_;
   PeerTransportCounters counters_;
 };
--- a/src/net/refusal.cc
+++ b/src/net/refusal.cc
@@ -16,17 +16,17 @@
   if (!request || !request->isRequest()) {
     return std::nullopt;
   }
-  CoapMessage answer;
+  CoapMessage response;
   const bool confirmable = request->type == CoapType::kConfirmable;
-  answer.type = confirmable ? CoapType::kAcknowledgement : CoapType::kNonConfirmable;
-  answer.code = refusal.reason == core::RefuseReason::kNewFlowRate ? kCoapTooManyRequests
-                                                                   : kCoapServiceUnavailable;
-  answer.messageId = request->messageId;
-  answer.token = request->token;
-  answer.addUint(kCoapMaxAge, static_cast<std::uint32_t>(refusal.retryAfter.count()));
-  answer.payload =
+  response.type = confirmable ? CoapType::kAcknowledgement : CoapType::kNonConfirmable;
+  response.code = refusal.reason == core::RefuseReason::kNewFlowRate ? kCoapTooManyRequests
+                                                                     : kCoapServiceUnavailable;
+  response.messageId = request->messageId;
+  response.token = request->token;
+  response.addUint(kCoapMaxAge, static_cast<std::uint32_t>(refusal.retryAfter.count()));
+  response.payload =
       refusal.certainty == core::RefusalCertainty::kNotRun ? kNotRunText : kOutcomeUnknownText;
-  return buildUdpPacket(reversed(udp->flow), encodeCoap(answer));
+  return buildUdpPacket(reversed(udp->flow), encodeCoap(response));
 }
 
 }  // namespace
--- a/src/policy/lua_sandbox.cc
+++ b/src/policy/lua_sandbox.cc
@@ -20,11 +20,11 @@
 constexpr const char* kRemovedMathFunctions[] = {"random", "randomseed"};
 
 /// Keeps only the named fields of the table on top of the stack.
-void keepOnly(lua_State* state, const char* const* begin, const char* const* end) {
-  const int original = lua_gettop(state);
+void filterTable(lua_State* state, const char* const* begin, const char* const* end) {
+  const int source = lua_gettop(state);
   lua_newtable(state);
   for (const char* const* name = begin; name != end; ++name) {
-    lua_getfield(state, original, *name);
+    lua_getfield(state, source, *name);
     lua_setfield(state, -2, *name);
   }
 }
@@ -34,20 +34,20 @@
 void* LuaSandbox::allocate(void* budgetPointer, void* block, std::size_t oldSize,
                            std::size_t newSize) {
   auto* budget = static_cast<MemoryBudget*>(budgetPointer);
-  const std::size_t held = block == nullptr ? 0 : oldSize;
+  const std::size_t currentSize = block == nullptr ? 0 : oldSize;
   if (newSize == 0) {
-    budget->used -= held;
+    budget->used -= currentSize;
     std::free(block);
     return nullptr;
   }
-  if (budget->used - held + newSize > budget->limit) {
+  if (budget->used - currentSize + newSize > budget->limit) {
     return nullptr;
   }
-  void* moved = std::realloc(block, newSize);
-  if (moved != nullptr) {
-    budget->used = budget->used - held + newSize;
+  void* resized = std::realloc(block, newSize);
+  if (resized != nullptr) {
+    budget->used = budget->used - currentSize + newSize;
   }
-  return moved;
+  return resized;
 }
 
 void LuaSandbox::onInstructionLimit(lua_State* state, lua_Debug*) {
@@ -76,7 +76,7 @@
   lua_settop(state, 0);
 
   lua_getglobal(state, LUA_STRLIBNAME);
-  keepOnly(state, std::begin(kStringFunctions), std::end(kStringFunctions));
+  filterTable(state, std::begin(kStringFunctions), std::end(kStringFunctions));
   lua_setglobal(state, LUA_STRLIBNAME);
   // Methods such as ("x"):rep() look up the string metatable; it must see the short list too.
   lua_pushliteral(state, "");
@@ -86,12 +86,12 @@
   lua_settop(state, 0);
 
   lua_pushglobaltable(state);
-  keepOnly(state, std::begin(kBaseFunctions), std::end(kBaseFunctions));
+  filterTable(state, std::begin(kBaseFunctions), std::end(kBaseFunctions));
   lua_rawseti(state, LUA_REGISTRYINDEX, LUA_RIDX_GLOBALS);
   lua_settop(state, 0);
 }
 
-bool LuaSandbox::takeError() {
+bool LuaSandbox::popError() {
   const char* message = lua_tostring(state_.get(), -1);
   lastReason_ = message == nullptr ? "policy raised an error that is no text" : message;
   lua_pop(state_.get(), 1);
@@ -101,13 +101,13 @@
 bool LuaSandbox::run(const std::string& source, const std::string& chunkName) {
   const std::string name = "=" + chunkName;
   if (luaL_loadbufferx(state_.get(), source.data(), source.size(), name.c_str(), "t") != LUA_OK) {
-    return takeError();
+    return popError();
   }
   return call(0, 0);
 }
 
 bool LuaSandbox::call(int argumentCount, int resultCount) {
-  return lua_pcall(state_.get(), argumentCount, resultCount, 0) == LUA_OK || takeError();
+  return lua_pcall(state_.get(), argumentCount, resultCount, 0) == LUA_OK || popError();
 }
 
 bool LuaSandbox::pushFunction(const char* name) {
--- a/src/policy/lua_sandbox.h
+++ b/src/policy/lua_sandbox.h
@@ -44,7 +44,7 @@
   static void* allocate(void* budget, void* block, std::size_t oldSize, std::size_t newSize);
   static void onInstructionLimit(lua_State* state, lua_Debug* debug);
   void openLibraries();
-  bool takeError();
+  bool popError();
 
   MemoryBudget budget_;
   std::unique_ptr<lua_State, CloseState> state_;
--- a/src/policy/policy_evaluator.h
+++ b/src/policy/policy_evaluator.h
@@ -34,12 +34,12 @@
 /// Checked output of one evaluation.
 struct PolicyResult {
   std::vector<std::uint32_t> weights;  ///< One per back end, 0 to kMaxWeight.
-  std::uint32_t rank = 0;              ///< 0 to 9.
+  std::uint32_t priority = 0;          ///< 0 to 9.
   core::ServiceLimits limits;
 };
 
 inline constexpr std::uint32_t kMaxWeight = 1000;
-inline constexpr std::uint32_t kMaxRank = 9;
+inline constexpr std::uint32_t kMaxPriority = 9;
 /// Caps on one evaluation. A policy for 5,600 back ends needs about 100 instructions for each.
 inline constexpr int kMaxInstructions = 2'000'000;
 inline constexpr std::size_t kMaxMemoryBytes = 4U << 20U;
